--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Thin front of the CMake build. `make help` lists the targets.
+# Convenience targets for the CMake build. `make help` lists the main ones.
 BUILD ?= build
 SIM_SEEDS ?= 10000
 SECONDS ?= 180
@@ -10,11 +10,11 @@
 help:
 	@echo "deps     install what the build and the tests need"
 	@echo "build    build everything under $(BUILD)/"
-	@echo "demo     install, build, and show one daemon and a fleet at work, with proofs"
-	@echo "fleet    run three daemons and the stand-ins until stopped"
+	@echo "demo     install, build, and show one daemon and a fleet at work, and verify the results"
+	@echo "fleet    run three daemons and the emulator until stopped"
 	@echo "test     unit tests, integration tests, simulated schedules"
 	@echo "lint     formatter and static checks"
-	@echo "fuzz     fuzz the pure core for a while"
+	@echo "fuzz     run each fuzz target for a minute"
 	@echo "soak     real daemons under random faults: SECONDS=180 SEED=1"
 	@echo "bench    measure cost and latency; figures and a plot under $(BUILD)/bench/"
 
--- a/scripts/lib/fleet.sh
+++ b/scripts/lib/fleet.sh
@@ -1,6 +1,6 @@
-# Functions that start and stop daemons and stand-ins on loopback. Sourced by
-# the scripts beside this folder, with BUILD and FOLDER set. Every process
-# started is remembered and ended by its id.
+# Starts and stops daemons and the emulator on loopback. A script that sources this
+# file sets BUILD, FOLDER and the *_PORT variables. FLEET_PIDS holds the process
+# ids by name; only these are signalled.
 
 declare -A FLEET_PIDS=()
 
@@ -9,12 +9,12 @@
   exit 1
 }
 
-# fleet_wait SECONDS WHAT COMMAND...: repeats the command until it succeeds.
+# fleet_wait SECONDS WHAT COMMAND...: repeats the command until it succeeds; exits on timeout.
 fleet_wait() {
   local deadline=$((SECONDS + $1)) what="$2"
   shift 2
   until "$@" >/dev/null 2>&1; do
-    [ "$SECONDS" -lt "$deadline" ] || fleet_fail "$what took too long"
+    [ "$SECONDS" -lt "$deadline" ] || fleet_fail "timed out waiting for $what"
     sleep 0.05
   done
 }
@@ -24,12 +24,12 @@
   shift
   "$BUILD/bankbank-emulator" --listen "127.0.0.1:$port" "$@" >"$FOLDER/emulator.log" 2>&1 &
   FLEET_PIDS[emulator]=$!
-  fleet_wait 20 "the start of the stand-ins" curl -sf "http://127.0.0.1:$port/machines"
+  fleet_wait 20 "the start of the emulator" curl -sf "http://127.0.0.1:$port/machines"
 }
 
-# fleet_write_settings NODE REPLICAS [ROLE]: settings of a daemon; 0 replicas:
-# alone. ROLE is both, state or gateway; gateways without state have numbers
-# above the replicas'.
+# fleet_write_settings NODE REPLICAS [ROLE]: REPLICAS is 0 for a single daemon. ROLE
+# is both, state or gateway; node numbers of gateways must be above REPLICAS.
+# FLEET_EXTRA may hold additional lines of settings.
 fleet_write_settings() {
   local node="$1" count="$2" role="${3:-both}" other
   {
@@ -54,7 +54,7 @@
   } >"$FOLDER/node-$node.yaml"
 }
 
-fleet_start_node() { # NODE
+fleet_start_daemon() { # NODE
   local node="$1"
   "$BUILD/bankbankd" --config "$FOLDER/node-$node.yaml" >>"$FOLDER/node-$node.log" 2>&1 &
   FLEET_PIDS[node-$node]=$!
@@ -78,11 +78,12 @@
   wait 2>/dev/null || true
 }
 
-fleet_ctl() { # ARGUMENTS...: the operators' command line against the first daemon
+fleet_ctl() { # ARGUMENTS...: uses the first daemon
   "$BUILD/bankbankctl" --server "127.0.0.1:$OPERATOR_PORT" "$@"
 }
 
-# fleet_create_resources EMULATOR_PORT ENGINES: a pool, a policy and a service.
+# fleet_create_resources EMULATOR_PORT ENGINES: creates a pool, a policy and a
+# service, and waits until they are in force.
 fleet_create_resources() {
   local engines=() backends=() number revision
   for ((number = 0; number < $2; number++)); do
--- a/src/base/buffer.c
+++ b/src/base/buffer.c
@@ -11,7 +11,7 @@
 {
     void *result = realloc(data, size == 0 ? 1 : size);
     if (result == NULL) {
-        fputs("memory: allocation failed, stopping\n", stderr);
+        fputs("memory: allocation failed, aborting\n", stderr);
         abort();
     }
     return result;
@@ -60,10 +60,10 @@
     buffer->length = 0;
 }
 
-void buffer_reuse(struct buffer *buffer, size_t most)
+void buffer_clear_and_trim(struct buffer *buffer, size_t max_capacity)
 {
     buffer->length = 0;
-    if (buffer->capacity > most) {
+    if (buffer->capacity > max_capacity) {
         buffer_close(buffer);
     }
 }
@@ -102,16 +102,16 @@
 {
     va_list arguments;
     va_start(arguments, format);
-    va_list again;
-    va_copy(again, arguments);
+    va_list arguments_copy;
+    va_copy(arguments_copy, arguments);
     int length = vsnprintf(NULL, 0, format, arguments);
     va_end(arguments);
     if (length > 0) {
-        uint8_t *place = buffer_reserve(buffer, (size_t)length + 1);
-        vsnprintf((char *)place, (size_t)length + 1, format, again);
+        uint8_t *target = buffer_reserve(buffer, (size_t)length + 1);
+        vsnprintf((char *)target, (size_t)length + 1, format, arguments_copy);
         buffer->length += (size_t)length;
     }
-    va_end(again);
+    va_end(arguments_copy);
 }
 
 void buffer_consume(struct buffer *buffer, size_t length)
--- a/src/base/buffer.h
+++ b/src/base/buffer.h
@@ -1,7 +1,7 @@
 /**
  * @file buffer.h
- * A growable byte buffer. Allocation failure ends the process: the daemon
- * cannot keep its promises without memory, and a restart recovers from disk.
+ * A growable byte buffer. Allocation failure aborts the process: the daemon
+ * cannot uphold its guarantees without memory, and a restart recovers from disk.
  */
 #ifndef BANKBANK_BASE_BUFFER_H
 #define BANKBANK_BASE_BUFFER_H
@@ -11,26 +11,25 @@
 
 #include "base/view.h"
 
-/** A growable byte buffer; all zero is a valid empty buffer. */
+/** All zero is a valid empty buffer. */
 struct buffer {
-    uint8_t *data;   /**< Owned storage, NULL while empty. */
-    size_t length;   /**< Bytes in use. */
-    size_t capacity; /**< Bytes allocated. */
+    uint8_t *data; /**< Owned; NULL if nothing is allocated. */
+    size_t length;
+    size_t capacity;
 };
 
-/** Frees the storage and makes the buffer empty again. */
+/** Frees the storage; the buffer is empty and can be used again. */
 void buffer_close(struct buffer *buffer);
 
-/** Forgets the content but keeps the storage. */
+/** Sets the length to zero and keeps the storage. */
 void buffer_clear(struct buffer *buffer);
 
-/** Forgets the content, and frees the storage where it is larger than `most`: after a burst. */
-void buffer_reuse(struct buffer *buffer, size_t most);
+/** Like buffer_clear(), but frees the storage if its capacity exceeds `max_capacity` bytes, as after a burst. */
+void buffer_clear_and_trim(struct buffer *buffer, size_t max_capacity);
 
-/** Makes room for `extra` more bytes and returns the place of the first. */
+/** Ensures capacity for `extra` more bytes and returns a pointer to the first of them. */
 uint8_t *buffer_reserve(struct buffer *buffer, size_t extra);
 
-/** Appends `length` bytes. */
 void buffer_append(struct buffer *buffer, const void *data, size_t length);
 
 /** Appends a NUL-terminated string without its NUL; NULL appends nothing. */
@@ -45,25 +44,23 @@
 /** Returns the content as a NUL-terminated string owned by the buffer. */
 char *buffer_text(struct buffer *buffer);
 
-/** Returns a view of the content. */
 struct view buffer_view(const struct buffer *buffer);
 
-/** calloc that ends the process on failure. */
+/** Allocates zeroed memory; aborts the process on failure. */
 void *memory_new(size_t size);
 
-/** realloc that ends the process on failure. */
+/** Like realloc(); aborts the process on failure. */
 void *memory_resize(void *data, size_t size);
 
-/** Copies `length` bytes and adds a NUL; the caller frees the result. */
+/** Copies `length` bytes and appends a NUL; the caller frees the result. */
 char *memory_copy(const void *data, size_t length);
 
 /** Copies a string; NULL gives an empty string. The caller frees the result. */
 char *text_copy(const char *text);
 
-/** Returns `text`, or "" for NULL. */
 const char *text_or_empty(const char *text);
 
-/** Returns whether two strings are equal; NULL equals "". */
+/** NULL equals "". */
 bool text_equal(const char *a, const char *b);
 
 #endif
--- a/src/base/clock.c
+++ b/src/base/clock.c
@@ -24,7 +24,7 @@
     return clock_read_us(CLOCK_REALTIME) / 1000U;
 }
 
-uint64_t clock_processor_ms(void)
+uint64_t clock_cpu_ms(void)
 {
     return clock_read_us(CLOCK_PROCESS_CPUTIME_ID) / 1000U;
 }
--- a/src/base/event_log.c
+++ b/src/base/event_log.c
@@ -12,14 +12,17 @@
 
 #include "base/buffer.h"
 
-enum { EVENT_LOG_SECOND_MS = 1000, EVENT_LOG_WRITE_MAX = 4096 /* a pipe that is writable takes as much */ };
+enum {
+    EVENT_LOG_SECOND_MS = 1000,
+    EVENT_LOG_WRITE_MAX_BYTES = 4096 /* PIPE_BUF: a writable pipe accepts this much without blocking */
+};
 
-/* Lines of one kind in the current second. */
+/* Line budget of one kind of event. */
 struct event_kind {
     const char *name;
-    uint64_t second;
-    uint32_t lines;
-    uint64_t left_out;
+    uint64_t second;     /* monotonic time in seconds to which `lines` applies */
+    uint32_t lines;      /* including suppressed ones */
+    uint64_t suppressed; /* since the last report */
 };
 
 static struct {
@@ -30,20 +33,20 @@
     uint64_t wall_ms;
     uint64_t reported_second;
     uint64_t dropped;
-    struct event_kind kinds[EVENT_LOG_KINDS];
+    struct event_kind kinds[EVENT_LOG_MAX_KINDS];
     size_t kind_count;
     struct buffer pending;
 } log_state;
 
 static const char EVENT_LOG_NAME[] = "bankbank-events";
 
-/* ---- log4c's appender: the bounded buffer -------------------------------------------- */
+/* ---- log4c appender that writes to the bounded buffer -------------------------------- */
 
 static int event_append(log4c_appender_t *appender, const log4c_logging_event_t *event)
 {
     (void)appender;
     size_t length = strlen(event->evt_msg);
-    if (log_state.pending.length + length + 1 > EVENT_LOG_BUFFER) {
+    if (log_state.pending.length + length + 1 > EVENT_LOG_BUFFER_BYTES) {
         log_state.dropped++;
         return 0;
     }
@@ -79,22 +82,23 @@
 
 /* ---- Budgets -------------------------------------------------------------------------- */
 
-static struct event_kind *event_kind_of(const char *name)
+static struct event_kind *event_kind_find(const char *name)
 {
     for (size_t i = 0; i < log_state.kind_count; i++) {
         if (log_state.kinds[i].name == name || strcmp(log_state.kinds[i].name, name) == 0) {
             return &log_state.kinds[i];
         }
     }
-    if (log_state.kind_count == EVENT_LOG_KINDS) {
-        return &log_state.kinds[EVENT_LOG_KINDS - 1];
+    if (log_state.kind_count == EVENT_LOG_MAX_KINDS) {
+        return &log_state.kinds[EVENT_LOG_MAX_KINDS - 1];
     }
     struct event_kind *kind = &log_state.kinds[log_state.kind_count++];
     kind->name = name;
     return kind;
 }
 
-static bool event_kind_allows(struct event_kind *kind)
+/* Counts a line; returns false if it exceeds the budget. */
+static bool event_kind_count_line(struct event_kind *kind)
 {
     uint64_t second = log_state.now_ms / EVENT_LOG_SECOND_MS;
     if (kind->second != second) {
@@ -105,14 +109,14 @@
     if (kind->lines <= log_state.lines_per_s) {
         return true;
     }
-    kind->left_out++;
+    kind->suppressed++;
     log_state.dropped++;
     return false;
 }
 
 static void event_emit(const char *event, json_t *object)
 {
-    char text[EVENT_LOG_LINE_MAX];
+    char text[EVENT_LOG_MAX_LINE_BYTES];
     json_t *line =
         json_pack("{s:I,s:s,s:s}", "ms", (json_int_t)log_state.wall_ms, "node", log_state.node, "event", event);
     if (line != NULL && object != NULL) {
@@ -128,8 +132,8 @@
     json_decref(line);
 }
 
-/* Once a second, a line for each kind that went over its budget. */
-static void event_report_left_out(void)
+/* Logs, once a second, how many lines of each kind were suppressed by its budget. */
+static void event_report_suppressed(void)
 {
     uint64_t second = log_state.now_ms / EVENT_LOG_SECOND_MS;
     if (second == log_state.reported_second) {
@@ -138,24 +142,24 @@
     log_state.reported_second = second;
     for (size_t i = 0; i < log_state.kind_count; i++) {
         struct event_kind *kind = &log_state.kinds[i];
-        if (kind->left_out > 0) {
-            json_t *object = json_pack("{s:s,s:I}", "kind", kind->name, "lines", (json_int_t)kind->left_out);
-            kind->left_out = 0;
+        if (kind->suppressed > 0) {
+            json_t *object = json_pack("{s:s,s:I}", "kind", kind->name, "lines", (json_int_t)kind->suppressed);
+            kind->suppressed = 0;
             event_emit("lines_left_out", object);
             json_decref(object);
         }
     }
 }
 
-void event_log_time(uint64_t now_ms, uint64_t wall_ms)
+void event_log_set_time(uint64_t now_ms, uint64_t wall_ms)
 {
     log_state.now_ms = now_ms;
     log_state.wall_ms = wall_ms;
 }
 
-static void event_log_list(const char *budget, const char *event, const char *format, va_list arguments)
+static void event_log_va(const char *budget, const char *event, const char *format, va_list arguments)
 {
-    if (log_state.category == NULL || !event_kind_allows(event_kind_of(budget))) {
+    if (log_state.category == NULL || !event_kind_count_line(event_kind_find(budget))) {
         return;
     }
     json_t *object = json_vpack_ex(NULL, 0, format, arguments);
@@ -167,27 +171,28 @@
 {
     va_list arguments;
     va_start(arguments, format);
-    event_log_list(event, event, format, arguments);
+    event_log_va(event, event, format, arguments);
     va_end(arguments);
 }
 
-void event_log_within(const char *budget, const char *event, const char *format, ...)
+void event_log_with_budget(const char *budget, const char *event, const char *format, ...)
 {
     va_list arguments;
     va_start(arguments, format);
-    event_log_list(budget, event, format, arguments);
+    event_log_va(budget, event, format, arguments);
     va_end(arguments);
 }
 
 void event_log_flush(void)
 {
-    event_report_left_out();
+    event_report_suppressed();
     while (log_state.pending.length > 0) {
         struct pollfd out = {.fd = STDOUT_FILENO, .events = POLLOUT};
         if (poll(&out, 1, 0) <= 0 || (out.revents & POLLOUT) == 0) {
             return;
         }
-        size_t size = log_state.pending.length < EVENT_LOG_WRITE_MAX ? log_state.pending.length : EVENT_LOG_WRITE_MAX;
+        size_t size =
+            log_state.pending.length < EVENT_LOG_WRITE_MAX_BYTES ? log_state.pending.length : EVENT_LOG_WRITE_MAX_BYTES;
         ssize_t written = write(STDOUT_FILENO, log_state.pending.data, size);
         if (written <= 0) {
             return;
--- a/src/base/event_log.h
+++ b/src/base/event_log.h
@@ -1,10 +1,10 @@
 /**
  * @file event_log.h
- * Structured log for people on call and for programs: one JSON object a line
- * on standard output, through log4c. Lines are kept in a bounded buffer and
- * written only as far as the reader takes them, so that logging never blocks
- * a request. Each kind of event has a budget of lines a second; what went over
- * it, or found the buffer full, is counted in a line of its own.
+ * Structured event log: one JSON object per line on standard output, through
+ * log4c. Lines are buffered and written without blocking, so that a slow reader
+ * never delays a request; if the buffer is full, they are dropped. Each kind of
+ * event has a budget of lines per second; further lines are dropped, and a
+ * separate line reports their number.
  */
 #ifndef BANKBANK_BASE_EVENT_LOG_H
 #define BANKBANK_BASE_EVENT_LOG_H
@@ -15,37 +15,38 @@
 #include <jansson.h>
 
 enum {
-    EVENT_LOG_BUFFER = 256 << 10, /**< Bytes kept for a slow reader. */
-    EVENT_LOG_LINE_MAX = 2048,    /**< Longest line. */
-    EVENT_LOG_KINDS = 64,         /**< Kinds of events. */
-    EVENT_LOG_LINES_PER_S = 40    /**< Default budget of a kind. */
+    EVENT_LOG_BUFFER_BYTES = 256 << 10,
+    EVENT_LOG_MAX_LINE_BYTES = 2048,
+    EVENT_LOG_MAX_KINDS = 64,  /**< Further kinds share the budget of the last one. */
+    EVENT_LOG_LINES_PER_S = 40 /**< Default budget of a kind. */
 };
 
-/** Starts the log: each line names the process `node`. */
+/** Opens the log. Every line has the member "node" with the value `node`; `lines_per_s` is the budget of each kind.
+ * Returns false on failure. */
 bool event_log_open(const char *node, uint32_t lines_per_s);
 
-/** Writes what is left, as far as the reader takes it. */
+/** Writes as many buffered bytes as possible without blocking, then closes the log. */
 void event_log_close(void);
 
-/** Sets the time of the lines that follow: steady and wall clock, ms. */
-void event_log_time(uint64_t now_ms, uint64_t wall_ms);
+/** Sets the time of later lines: `now_ms` on the monotonic clock, `wall_ms` since the Unix epoch. */
+void event_log_set_time(uint64_t now_ms, uint64_t wall_ms);
 
 /**
- * Adds a line. `event` is a literal that names the kind; `format` and what
- * follows are as for jansson's json_pack and give an object.
+ * Logs a line. `event` is a string literal that names the kind; `format` and its
+ * arguments are those of jansson's json_pack() and produce an object.
  */
 void event_log(const char *event, const char *format, ...);
 
 /**
- * The same with a budget apart from that of other lines of the kind, so that
- * what is common does not crowd out what is rare. `budget` is a literal.
+ * Like event_log(), but counts the line against the budget named by the string
+ * literal `budget`, so that frequent lines of a kind do not suppress rare ones.
  */
-void event_log_within(const char *budget, const char *event, const char *format, ...);
+void event_log_with_budget(const char *budget, const char *event, const char *format, ...);
 
-/** Writes as much as the reader takes without waiting. */
+/** Writes as many buffered bytes as possible without blocking. */
 void event_log_flush(void);
 
-/** Lines that were left out so far. */
+/** Lines dropped so far for any reason. */
 uint64_t event_log_dropped(void);
 
 #endif
--- a/src/base/findings.c
+++ b/src/base/findings.c
@@ -6,7 +6,7 @@
 
 enum { FINDING_TEXT_MAX = 512 };
 
-void findings_add(struct findings *findings, const char *place, const char *format, ...)
+void findings_add(struct findings *findings, const char *location, const char *format, ...)
 {
     char text[FINDING_TEXT_MAX];
     va_list arguments;
@@ -15,21 +15,21 @@
     va_end(arguments);
     findings->items = memory_resize(findings->items, (findings->count + 1) * sizeof(*findings->items));
     struct finding *finding = &findings->items[findings->count++];
-    finding->place = text_copy(place);
+    finding->location = text_copy(location);
     finding->text = text_copy(text);
 }
 
 void findings_report(const struct findings *findings, struct buffer *out)
 {
     for (size_t i = 0; i < findings->count; i++) {
-        buffer_printf(out, "%s: %s\n", findings->items[i].place, findings->items[i].text);
+        buffer_printf(out, "%s: %s\n", findings->items[i].location, findings->items[i].text);
     }
 }
 
 void findings_close(struct findings *findings)
 {
     for (size_t i = 0; i < findings->count; i++) {
-        free(findings->items[i].place);
+        free(findings->items[i].location);
         free(findings->items[i].text);
     }
     free(findings->items);
--- a/src/base/findings.h
+++ b/src/base/findings.h
@@ -1,33 +1,29 @@
 /**
  * @file findings.h
- * Collects the faults of one input with their places, so that all of them
- * can be reported together instead of one at a time.
+ * Collects all errors of an input with their locations.
  */
 #ifndef BANKBANK_BASE_FINDINGS_H
 #define BANKBANK_BASE_FINDINGS_H
 
 #include "base/buffer.h"
 
-/** One fault. */
 struct finding {
-    char *place; /**< Where, such as "settings.yaml:12: groups". */
-    char *text;  /**< What is wrong and what was expected. */
+    char *location; /**< Such as "settings.yaml:12: groups". */
+    char *text;
 };
 
-/** A growing list of faults; all zero is a valid empty list. */
+/** All zero is a valid empty list. */
 struct findings {
-    struct finding *items; /**< Owned array. */
-    size_t count;          /**< Number of faults. */
+    struct finding *items; /**< Owned. */
+    size_t count;
 };
 
-/** Adds a fault at `place`. */
-void findings_add(struct findings *findings, const char *place, const char *format, ...)
+void findings_add(struct findings *findings, const char *location, const char *format, ...)
     __attribute__((format(printf, 3, 4)));
 
-/** Writes one line a fault to `out`. */
+/** Appends one line per error to `out`. */
 void findings_report(const struct findings *findings, struct buffer *out);
 
-/** Frees the list. */
 void findings_close(struct findings *findings);
 
 #endif
--- a/src/base/log.c
+++ b/src/base/log.c
@@ -11,11 +11,11 @@
 
 static const char LOG_LAYOUT_NAME[] = "bankbank-line";
 static log4c_category_t *log_category;
-static void (*log_sink)(enum log_level level, const char *part, const char *text);
+static void (*log_sink)(enum log_level level, const char *component, const char *text);
 static enum log_level log_sink_level;
 static const char *const log_level_names[] = {"error", "warn", "info", "debug"};
 
-void log_redirect(enum log_level level, void (*sink)(enum log_level level, const char *part, const char *text))
+void log_redirect(enum log_level level, void (*sink)(enum log_level level, const char *component, const char *text))
 {
     log_sink_level = level;
     log_sink = sink;
@@ -85,7 +85,7 @@
     return false;
 }
 
-void log_write(enum log_level level, const char *part, const char *format, ...)
+void log_write(enum log_level level, const char *component, const char *format, ...)
 {
     int priority = log_priority(level);
     if (log_sink != NULL && level <= log_sink_level) {
@@ -94,7 +94,7 @@
         va_start(values, format);
         vsnprintf(line, sizeof(line), format, values);
         va_end(values);
-        log_sink(level, part, line);
+        log_sink(level, component, line);
         return;
     }
     if (log_category == NULL || !log4c_category_is_priority_enabled(log_category, priority)) {
@@ -105,5 +105,5 @@
     va_start(arguments, format);
     vsnprintf(text, sizeof(text), format, arguments);
     va_end(arguments);
-    log4c_category_log(log_category, priority, "%s: %s", part, text);
+    log4c_category_log(log_category, priority, "%s: %s", component, text);
 }
--- a/src/base/message.h
+++ b/src/base/message.h
@@ -1,6 +1,6 @@
 /**
  * @file message.h
- * Encoding and decoding of protocol messages into growable buffers.
+ * Encodes and decodes protobuf messages with nanopb.
  */
 #ifndef BANKBANK_BASE_MESSAGE_H
 #define BANKBANK_BASE_MESSAGE_H
@@ -9,16 +9,16 @@
 
 #include "base/buffer.h"
 
-/** Appends the encoded message; returns false if it cannot be encoded. */
+/** Appends the encoded message to `out`; returns false on failure. */
 bool message_encode(struct buffer *out, const pb_msgdesc_t *fields, const void *message);
 
 /**
- * Decodes `data` into `message`, which must be zeroed by its init value.
- * Views in the result point into `data`. On failure nothing is left to free.
+ * Decodes `data` into `message`, which must be zero-initialized.
+ * Views in the result point into `data`. Returns false on failure, with nothing left to free.
  */
 bool message_decode(struct view data, const pb_msgdesc_t *fields, void *message);
 
-/** Frees what decoding allocated and makes pointers NULL. */
+/** Frees the memory allocated by decoding and sets the pointers to NULL. */
 void message_free(const pb_msgdesc_t *fields, void *message);
 
 #endif
--- a/src/base/process_memory.c
+++ b/src/base/process_memory.c
@@ -4,7 +4,7 @@
 #include <stdio.h>
 #include <unistd.h>
 
-uint64_t process_memory_resident(void)
+uint64_t process_resident_bytes(void)
 {
     uint64_t total = 0;
     uint64_t resident = 0;
--- a/src/base/process_memory.h
+++ b/src/base/process_memory.h
@@ -1,13 +1,13 @@
 /**
  * @file process_memory.h
- * What the process itself holds in memory, as the kernel counts it.
+ * Memory use of this process as reported by the kernel.
  */
 #ifndef BANKBANK_BASE_PROCESS_MEMORY_H
 #define BANKBANK_BASE_PROCESS_MEMORY_H
 
 #include <stdint.h>
 
-/** Resident bytes; 0 where the kernel does not tell. */
-uint64_t process_memory_resident(void);
+/** Resident set size; 0 if it cannot be read. */
+uint64_t process_resident_bytes(void);
 
 #endif
--- a/src/bench/main.c
+++ b/src/bench/main.c
@@ -1,4 +1,4 @@
-/* bankbank-bench: open-loop load and measurement. */
+/* bankbank-bench: open-loop load generator. */
 #include <signal.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -16,8 +16,7 @@
     BENCH_DEFAULT_TIMEOUT_MS = 60000
 };
 
-/* Shapes modelled on the users' workloads: short conversations that a person
- * waits for, and long ones beside plain services. */
+/* amortis: short interactive conversations; midlands: long ones; single: one turn per program. */
 static const struct bench_mix bench_mixes[] = {
     {"amortis", 6, 200, 300, 48, 0.10},
     {"midlands", 14, 400, 500, 32, 0.05},
@@ -48,22 +47,22 @@
     struct arg_end *end;
 };
 
-static const char *bench_text(const struct arg_str *flag, const char *fallback)
+static const char *flag_string(const struct arg_str *flag, const char *fallback)
 {
     return flag->count > 0 ? flag->sval[0] : fallback;
 }
 
-static double bench_number(const struct arg_dbl *flag, double fallback)
+static double flag_double(const struct arg_dbl *flag, double fallback)
 {
     return flag->count > 0 ? flag->dval[0] : fallback;
 }
 
-static int bench_int(const struct arg_int *flag, int fallback)
+static int flag_int(const struct arg_int *flag, int fallback)
 {
     return flag->count > 0 ? flag->ival[0] : fallback;
 }
 
-static bool bench_find_mix(const char *name, struct bench_mix *mix)
+static bool find_mix(const char *name, struct bench_mix *mix)
 {
     for (size_t i = 0; i < sizeof(bench_mixes) / sizeof(bench_mixes[0]); i++) {
         if (strcmp(bench_mixes[i].name, name) == 0) {
@@ -71,14 +70,14 @@
             return true;
         }
     }
-    fprintf(stderr, "bankbank-bench: there is no mix '%s'\n", name);
+    fprintf(stderr, "bankbank-bench: unknown mix '%s'\n", name);
     return false;
 }
 
 static bool bench_configure(const struct bench_flags *flags, struct bench_config *config)
 {
     memset(config, 0, sizeof(*config));
-    if (!bench_find_mix(bench_text(flags->mix, "amortis"), &config->mix)) {
+    if (!find_mix(flag_string(flags->mix, "amortis"), &config->mix)) {
         return false;
     }
     for (int i = 0; i < flags->gateways->count; i++) {
@@ -88,25 +87,25 @@
         config->engines[config->engine_count++] = flags->engines->sval[i];
     }
     if (config->gateway_count + config->engine_count == 0) {
-        fprintf(stderr, "bankbank-bench: name at least one --gateway or --engine\n");
+        fprintf(stderr, "bankbank-bench: at least one --gateway or --engine is required\n");
         return false;
     }
-    config->mix.turns = bench_number(flags->turns, config->mix.turns);
-    config->mix.pause_ms = bench_number(flags->pause_ms, config->mix.pause_ms);
-    config->mix.question_bytes = bench_number(flags->question_bytes, config->mix.question_bytes);
-    config->mix.max_tokens = (uint64_t)bench_int(flags->max_tokens, (int)config->mix.max_tokens);
-    config->model = bench_text(flags->model, "agent-model");
-    config->policy = bench_text(flags->policy, "default");
-    config->service = bench_text(flags->service, "calculator");
-    config->program_rate = bench_number(flags->rate, 5);
-    config->plain_rate = bench_number(flags->plain_rate, 0);
-    config->seconds = bench_number(flags->seconds, 10);
-    config->max_turns = (uint32_t)bench_int(flags->max_turns, BENCH_DEFAULT_MAX_TURNS);
-    config->max_open = (uint32_t)bench_int(flags->max_open, BENCH_DEFAULT_MAX_OPEN);
+    config->mix.mean_turns = flag_double(flags->turns, config->mix.mean_turns);
+    config->mix.mean_pause_ms = flag_double(flags->pause_ms, config->mix.mean_pause_ms);
+    config->mix.mean_question_bytes = flag_double(flags->question_bytes, config->mix.mean_question_bytes);
+    config->mix.max_tokens = (uint64_t)flag_int(flags->max_tokens, (int)config->mix.max_tokens);
+    config->model = flag_string(flags->model, "agent-model");
+    config->policy = flag_string(flags->policy, "default");
+    config->service = flag_string(flags->service, "calculator");
+    config->program_rate = flag_double(flags->rate, 5);
+    config->plain_rate = flag_double(flags->plain_rate, 0);
+    config->seconds = flag_double(flags->seconds, 10);
+    config->max_turns = (uint32_t)flag_int(flags->max_turns, BENCH_DEFAULT_MAX_TURNS);
+    config->max_open = (uint32_t)flag_int(flags->max_open, BENCH_DEFAULT_MAX_OPEN);
     config->timeout_ms = BENCH_DEFAULT_TIMEOUT_MS;
-    config->seed = (uint64_t)bench_int(flags->seed, 1);
-    config->exact = flags->exact->count > 0;
-    config->keep = flags->keep->count > 0;
+    config->seed = (uint64_t)flag_int(flags->seed, 1);
+    config->exact_length = flags->exact->count > 0;
+    config->keep_programs = flags->keep->count > 0;
     return true;
 }
 
@@ -115,12 +114,12 @@
     static const char *const names[] = {"gateway", "direct"};
     samples_init(&bench->plain);
     for (size_t i = 0; i < 2; i++) {
-        bench->sides[i].name = names[i];
-        samples_init(&bench->sides[i].create);
-        samples_init(&bench->sides[i].first_token);
-        samples_init(&bench->sides[i].between);
-        samples_init(&bench->sides[i].turn);
-        samples_init(&bench->sides[i].program);
+        bench->results[i].name = names[i];
+        samples_init(&bench->results[i].create);
+        samples_init(&bench->results[i].first_token);
+        samples_init(&bench->results[i].inter_token);
+        samples_init(&bench->results[i].turn);
+        samples_init(&bench->results[i].program);
     }
 }
 
@@ -128,15 +127,16 @@
 {
     samples_close(&bench->plain);
     for (size_t i = 0; i < 2; i++) {
-        samples_close(&bench->sides[i].create);
-        samples_close(&bench->sides[i].first_token);
-        samples_close(&bench->sides[i].between);
-        samples_close(&bench->sides[i].turn);
-        samples_close(&bench->sides[i].program);
+        samples_close(&bench->results[i].create);
+        samples_close(&bench->results[i].first_token);
+        samples_close(&bench->results[i].inter_token);
+        samples_close(&bench->results[i].turn);
+        samples_close(&bench->results[i].program);
     }
 }
 
-/* Failure: a program was given up, an answer was wrong, or nothing ran. */
+/* Fails if the report was not written, a program failed, an answer was wrong, nothing ran, or arrivals still run after
+ * the drain timeout. */
 static int bench_main(const struct bench_flags *flags)
 {
     static struct bench bench;
@@ -148,9 +148,9 @@
     bench_init(&bench);
     bench_run(&bench);
     bool written = bench_report(&bench, flags->output->count > 0 ? flags->output->sval[0] : NULL);
-    uint64_t wrong = bench.sides[0].wrong + bench.sides[1].wrong;
-    uint64_t failed = bench.sides[0].programs_failed + bench.sides[1].programs_failed;
-    uint64_t finished = bench.sides[0].programs_finished + bench.sides[1].programs_finished;
+    uint64_t wrong = bench.results[0].wrong_answers + bench.results[1].wrong_answers;
+    uint64_t failed = bench.results[0].programs_failed + bench.results[1].programs_failed;
+    uint64_t finished = bench.results[0].programs_finished + bench.results[1].programs_finished;
     bool passed = written && wrong == 0 && failed == 0 && (finished > 0 || bench.plain.count > 0);
     bool drained = bench.open == 0;
     if (drained) {
@@ -163,25 +163,27 @@
 int main(int argc, char **argv)
 {
     struct bench_flags flags = {
-        .gateways = arg_strn(NULL, "gateway", "URL", 0, BENCH_MAX_TARGETS, "daemon to load; may be repeated"),
-        .engines = arg_strn(NULL, "engine", "URL", 0, BENCH_MAX_TARGETS, "engine called directly, every other program"),
+        .gateways = arg_strn(NULL, "gateway", "URL", 0, BENCH_MAX_TARGETS, "base URL of a daemon; may be repeated"),
+        .engines = arg_strn(
+            NULL, "engine", "URL", 0, BENCH_MAX_TARGETS,
+            "base URL of an engine to call directly, for every other program (all without --gateway); may be repeated"),
         .mix = arg_str0(NULL, "mix", "NAME", "amortis, midlands or single (amortis)"),
         .model = arg_str0(NULL, "model", "NAME", "model (agent-model)"),
         .policy = arg_str0(NULL, "policy", "NAME", "policy of the programs (default)"),
         .service = arg_str0(NULL, "service", "NAME", "service of the plain requests (calculator)"),
-        .rate = arg_dbl0(NULL, "rate", "N", "programs a second (5)"),
-        .plain_rate = arg_dbl0(NULL, "plain-rate", "N", "plain requests a second (0)"),
+        .rate = arg_dbl0(NULL, "rate", "N", "programs per second (5)"),
+        .plain_rate = arg_dbl0(NULL, "plain-rate", "N", "plain requests per second (0)"),
         .seconds = arg_dbl0(NULL, "seconds", "S", "time during which programs arrive (10)"),
         .turns = arg_dbl0(NULL, "turns", "N", "mean turns of a program"),
         .pause_ms = arg_dbl0(NULL, "pause-ms", "MS", "mean tool pause"),
         .question_bytes = arg_dbl0(NULL, "question-bytes", "N", "mean length of a question"),
-        .max_tokens = arg_int0(NULL, "max-tokens", "N", "limit of an answer"),
-        .max_turns = arg_int0(NULL, "max-turns", "N", "most turns of a program (200)"),
-        .max_open = arg_int0(NULL, "max-open", "N", "most programs and requests open (1000)"),
-        .seed = arg_int0(NULL, "seed", "N", "seed (1)"),
-        .exact = arg_lit0(NULL, "exact", "answers of exactly the limit"),
-        .keep = arg_lit0(NULL, "keep", "leave the programs open at their end"),
-        .output = arg_str0("o", "output", "FILE", "file of the JSON report (standard output)"),
+        .max_tokens = arg_int0(NULL, "max-tokens", "N", "maximum tokens of an answer"),
+        .max_turns = arg_int0(NULL, "max-turns", "N", "maximum turns of a program (200)"),
+        .max_open = arg_int0(NULL, "max-open", "N", "maximum concurrent programs and requests (1000)"),
+        .seed = arg_int0(NULL, "seed", "N", "seed of all random draws (1)"),
+        .exact = arg_lit0(NULL, "exact", "request answers of exactly max-tokens"),
+        .keep = arg_lit0(NULL, "keep", "do not delete finished programs"),
+        .output = arg_str0("o", "output", "FILE", "JSON report (standard output)"),
         .help = arg_lit0("h", "help", "show this text"),
         .end = arg_end(8),
     };
@@ -191,12 +193,12 @@
                      flags.seed,     flags.exact,          flags.keep,       flags.output,    flags.help,
                      flags.end};
     int status = EXIT_SUCCESS;
-    int faults = arg_parse(argc, argv, table);
+    int errors = arg_parse(argc, argv, table);
     if (flags.help->count > 0) {
         printf("Usage: bankbank-bench");
         arg_print_syntax(stdout, table, "\n");
         arg_print_glossary(stdout, table, "  %-28s %s\n");
-    } else if (faults > 0) {
+    } else if (errors > 0) {
         arg_print_errors(stderr, flags.end, "bankbank-bench");
         status = BENCH_EXIT_USAGE;
     } else {
--- a/src/bench/report.c
+++ b/src/bench/report.c
@@ -1,4 +1,3 @@
-/* Results as JSON. */
 #include <jansson.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -6,21 +5,22 @@
 
 #include "bench/bench.h"
 
-static json_t *report_side(struct bench_side *side)
+static json_t *report_results(struct bench_results *results)
 {
-    double wasted = side->reusable_tokens == 0 ? 0 : (double)side->wasted_tokens / (double)side->reusable_tokens;
-    json_t *body = json_pack("{s:I,s:I,s:I,s:I,s:I,s:I,s:I,s:I,s:I,s:I,s:f}", "programs_finished",
-                             (json_int_t)side->programs_finished, "programs_failed", (json_int_t)side->programs_failed,
-                             "turns", (json_int_t)side->turns, "refused", (json_int_t)side->refused, "unknown",
-                             (json_int_t)side->unknown, "wrong_answers", (json_int_t)side->wrong, "prompt_tokens",
-                             (json_int_t)side->prompt_tokens, "completion_tokens", (json_int_t)side->completion_tokens,
-                             "reusable_tokens", (json_int_t)side->reusable_tokens, "wasted_tokens",
-                             (json_int_t)side->wasted_tokens, "wasted_share", wasted);
-    json_object_set_new(body, "create_ms", samples_report(&side->create));
-    json_object_set_new(body, "first_token_ms", samples_report(&side->first_token));
-    json_object_set_new(body, "between_tokens_ms", samples_report(&side->between));
-    json_object_set_new(body, "turn_ms", samples_report(&side->turn));
-    json_object_set_new(body, "program_ms", samples_report(&side->program));
+    double wasted =
+        results->reusable_tokens == 0 ? 0 : (double)results->wasted_tokens / (double)results->reusable_tokens;
+    json_t *body = json_pack(
+        "{s:I,s:I,s:I,s:I,s:I,s:I,s:I,s:I,s:I,s:I,s:f}", "programs_finished", (json_int_t)results->programs_finished,
+        "programs_failed", (json_int_t)results->programs_failed, "turns", (json_int_t)results->turns, "refused",
+        (json_int_t)results->refused, "unknown", (json_int_t)results->unknown, "wrong_answers",
+        (json_int_t)results->wrong_answers, "prompt_tokens", (json_int_t)results->prompt_tokens, "completion_tokens",
+        (json_int_t)results->completion_tokens, "reusable_tokens", (json_int_t)results->reusable_tokens,
+        "wasted_tokens", (json_int_t)results->wasted_tokens, "wasted_share", wasted);
+    json_object_set_new(body, "create_ms", samples_report(&results->create));
+    json_object_set_new(body, "first_token_ms", samples_report(&results->first_token));
+    json_object_set_new(body, "between_tokens_ms", samples_report(&results->inter_token));
+    json_object_set_new(body, "turn_ms", samples_report(&results->turn));
+    json_object_set_new(body, "program_ms", samples_report(&results->program));
     return body;
 }
 
@@ -45,11 +45,11 @@
                              config->seconds, "seed", (json_int_t)config->seed, "dropped", (json_int_t)bench->dropped,
                              "most_open", (json_int_t)bench->most_open, "wall_seconds", bench->wall_seconds);
     if (config->gateway_count > 0) {
-        json_object_set_new(body, "gateway", report_side(&bench->sides[BENCH_GATEWAY]));
+        json_object_set_new(body, "gateway", report_results(&bench->results[BENCH_GATEWAY]));
         json_object_set_new(body, "daemons", report_daemons(bench));
     }
     if (config->engine_count > 0) {
-        json_object_set_new(body, "direct", report_side(&bench->sides[BENCH_DIRECT]));
+        json_object_set_new(body, "direct", report_results(&bench->results[BENCH_DIRECT]));
     }
     if (config->plain_rate > 0) {
         json_t *plain = samples_report(&bench->plain);
--- a/src/core/budget_table.c
+++ b/src/core/budget_table.c
@@ -7,7 +7,7 @@
 
 #include "base/message.h"
 
-enum { BUDGET_SETTLED_STEP = 8 /* turns for which room is made at a time */ };
+enum { BUDGET_SETTLED_GROWTH = 8 /* entries by which `settled` grows */ };
 
 static uint64_t budget_turn_key(const char *turn)
 {
@@ -20,8 +20,9 @@
 static size_t budget_program_bytes(const struct budget_program *program)
 {
     size_t server = program->server == NULL ? 0 : strlen(program->server) + 1;
-    return sizeof(*program) + strlen(program->id) + 1 + server + program->open_count * sizeof(*program->open) +
-           program->settled_capacity * sizeof(*program->settled) + BUDGET_HELD_BYTES;
+    return sizeof(*program) + strlen(program->id) + 1 + server +
+           program->reservation_count * sizeof(*program->reservations) +
+           program->settled_capacity * sizeof(*program->settled) + BUDGET_OVERHEAD_BYTES;
 }
 
 static void budget_program_free(struct budget_table *table, struct budget_program *program)
@@ -29,7 +30,7 @@
     table->bytes -= budget_program_bytes(program);
     HASH_DEL(table->programs, program);
     free(program->server);
-    free(program->open);
+    free(program->reservations);
     free(program->settled);
     free(program);
 }
@@ -48,8 +49,8 @@
     return program;
 }
 
-/* Finds or makes a program and moves it to the end of the order of use. */
-static struct budget_program *budget_use(struct budget_table *table, uint64_t now_ms, const char *id)
+/* Returns the program, creating it if missing; renews its expiry and makes it the most recently used. */
+static struct budget_program *budget_touch(struct budget_table *table, uint64_t now_ms, const char *id)
 {
     struct budget_program *program = budget_find(table, id);
     size_t length = strlen(text_or_empty(id));
@@ -65,7 +66,7 @@
     return program;
 }
 
-static void budget_note_server(struct budget_table *table, struct budget_program *program, const char *server)
+static void budget_set_server(struct budget_table *table, struct budget_program *program, const char *server)
 {
     table->bytes -= budget_program_bytes(program);
     free(program->server);
@@ -75,11 +76,11 @@
 
 /* ---- Turns ------------------------------------------------------------------ */
 
-static budget_reservation_t *budget_open_of(const struct budget_program *program, uint64_t turn)
+static budget_reservation_t *budget_find_reservation(const struct budget_program *program, uint64_t turn)
 {
-    for (uint32_t i = 0; i < program->open_count; i++) {
-        if (program->open[i].turn == turn) {
-            return &program->open[i];
+    for (uint32_t i = 0; i < program->reservation_count; i++) {
+        if (program->reservations[i].turn == turn) {
+            return &program->reservations[i];
         }
     }
     return NULL;
@@ -95,53 +96,55 @@
     return false;
 }
 
-static void budget_add_open(struct budget_table *table, struct budget_program *program, uint64_t turn, uint64_t tokens)
+static void budget_add_reservation(struct budget_table *table, struct budget_program *program, uint64_t turn,
+                                   uint64_t tokens)
 {
     budget_reservation_t item = {.turn = turn, .tokens = tokens};
-    program->open = memory_resize(program->open, (program->open_count + 1) * sizeof(item));
-    program->open[program->open_count++] = item;
+    program->reservations = memory_resize(program->reservations, (program->reservation_count + 1) * sizeof(item));
+    program->reservations[program->reservation_count++] = item;
     program->committed += tokens;
     table->bytes += sizeof(item);
 }
 
-static void budget_remove_open(struct budget_table *table, struct budget_program *program, budget_reservation_t *item)
+static void budget_remove_reservation(struct budget_table *table, struct budget_program *program,
+                                      budget_reservation_t *item)
 {
     program->committed -= item->tokens;
-    *item = program->open[--program->open_count];
+    *item = program->reservations[--program->reservation_count];
     table->bytes -= sizeof(*item);
-    if (program->open_count == 0) {
-        free(program->open);
-        program->open = NULL;
+    if (program->reservation_count == 0) {
+        free(program->reservations);
+        program->reservations = NULL;
     }
 }
 
 static void budget_add_settled(struct budget_table *table, struct budget_program *program, uint64_t turn)
 {
-    if (program->settled_count == BUDGET_TURNS_MOST) {
-        program->settled_count /= 2; /* the older half is beyond any repeat */
+    if (program->settled_count == BUDGET_MAX_TURNS) {
+        program->settled_count /= 2; /* drop the older half: their begins are unlikely to arrive this late */
         memmove(program->settled, program->settled + program->settled_count,
                 program->settled_count * sizeof(*program->settled));
     }
     if (program->settled_count == program->settled_capacity) {
-        program->settled_capacity += BUDGET_SETTLED_STEP;
+        program->settled_capacity += BUDGET_SETTLED_GROWTH;
         program->settled = memory_resize(program->settled, program->settled_capacity * sizeof(*program->settled));
-        table->bytes += BUDGET_SETTLED_STEP * sizeof(*program->settled);
+        table->bytes += BUDGET_SETTLED_GROWTH * sizeof(*program->settled);
     }
     program->settled[program->settled_count++] = turn;
 }
 
 bool budget_table_reserve(struct budget_table *table, uint64_t now_ms, const TurnBegin *begin)
 {
-    struct budget_program *program = budget_use(table, now_ms, begin->program);
+    struct budget_program *program = budget_touch(table, now_ms, begin->program);
     uint64_t turn = budget_turn_key(begin->turn);
-    if (budget_open_of(program, turn) != NULL || budget_is_settled(program, turn)) {
+    if (budget_find_reservation(program, turn) != NULL || budget_is_settled(program, turn)) {
         return true;
     }
     bool fits = program->committed + begin->reserve_tokens <= begin->budget_tokens;
-    if (!fits || program->open_count == BUDGET_TURNS_MOST) {
+    if (!fits || program->reservation_count == BUDGET_MAX_TURNS) {
         return false;
     }
-    budget_add_open(table, program, turn, begin->reserve_tokens);
+    budget_add_reservation(table, program, turn, begin->reserve_tokens);
     return true;
 }
 
@@ -153,19 +156,19 @@
 
 void budget_table_settle(struct budget_table *table, uint64_t now_ms, const TurnFinish *finish)
 {
-    struct budget_program *program = budget_use(table, now_ms, finish->program);
+    struct budget_program *program = budget_touch(table, now_ms, finish->program);
     uint64_t turn = budget_turn_key(finish->turn);
     if (budget_is_settled(program, turn)) {
         return;
     }
-    budget_reservation_t *item = budget_open_of(program, turn);
+    budget_reservation_t *item = budget_find_reservation(program, turn);
     if (item != NULL) {
-        budget_remove_open(table, program, item);
+        budget_remove_reservation(table, program, item);
     }
     program->committed += finish->used_tokens;
     budget_add_settled(table, program, turn);
     if (text_or_empty(finish->server)[0] != '\0') {
-        budget_note_server(table, program, finish->server);
+        budget_set_server(table, program, finish->server);
     }
 }
 
@@ -188,13 +191,13 @@
         .settled = program->settled,
         .settled_count = (pb_size_t)program->settled_count,
     };
-    record.reservations = memory_new((program->open_count + 1) * sizeof(*record.reservations));
-    for (uint32_t i = 0; i < program->open_count; i++) {
-        record.reservations[i].key = program->open[i].turn;
-        record.reservations[i].tokens = program->open[i].tokens;
-        record.spent -= program->open[i].tokens;
+    record.reservations = memory_new((program->reservation_count + 1) * sizeof(*record.reservations));
+    for (uint32_t i = 0; i < program->reservation_count; i++) {
+        record.reservations[i].key = program->reservations[i].turn;
+        record.reservations[i].tokens = program->reservations[i].tokens;
+        record.spent -= program->reservations[i].tokens;
     }
-    record.reservations_count = (pb_size_t)program->open_count;
+    record.reservations_count = (pb_size_t)program->reservation_count;
     message_encode(out, BudgetRecord_fields, &record);
     free(record.reservations);
 }
@@ -207,17 +210,17 @@
         program->committed += record->tokens;
         budget_add_settled(table, program, turn);
     } else {
-        budget_add_open(table, program, turn, record->tokens);
+        budget_add_reservation(table, program, turn, record->tokens);
     }
 }
 
 void budget_table_import(struct budget_table *table, const BudgetRecord *record)
 {
-    struct budget_program *program = budget_use(table, 0, record->program);
+    struct budget_program *program = budget_touch(table, 0, record->program);
     program->expires_ms = record->expires_ms;
     program->committed += record->spent;
     if (record->server != NULL) {
-        budget_note_server(table, program, record->server);
+        budget_set_server(table, program, record->server);
     }
     for (pb_size_t i = 0; i < record->reservations_count; i++) {
         budget_import_reservation(table, program, &record->reservations[i]);
--- a/src/core/budget_table.h
+++ b/src/core/budget_table.h
@@ -1,11 +1,11 @@
 /**
  * @file budget_table.h
- * Token budgets of programs over all daemons: the most that a turn may
- * generate is reserved before it runs, and settled by what was handed out.
- * A reservation that is never settled stays: its tokens may have been spent.
- *
- * Programs are remembered for minutes, some hundred new turns a second: a
- * turn is known by a 64-bit hash of its id, and a settled one takes no more.
+ * Token budgets of programs, shared by all daemons. A program is a sequence of
+ * turns, which are requests to a model. The maximum number of tokens that a turn
+ * may generate is reserved before it runs; when it ends, the reservation is
+ * replaced by the tokens delivered. A reservation that is never settled stays
+ * charged, since its tokens may have been spent. To save memory, turns are
+ * identified by a 64-bit hash of their id.
  */
 #ifndef BANKBANK_CORE_BUDGET_TABLE_H
 #define BANKBANK_CORE_BUDGET_TABLE_H
@@ -19,56 +19,54 @@
 #include "control.pb.h"
 
 enum {
-    BUDGET_RETENTION_MS = 300 * 1000, /**< Time a program is remembered after its last turn. */
-    BUDGET_TURNS_MOST = 4096, /**< Turns of a program under way, and settled ones remembered: 40 of the longest. */
-    BUDGET_HELD_BYTES = 96    /**< What the allocator and the hash add to a program, about. */
+    BUDGET_RETENTION_MS = 300 * 1000, /**< A program is dropped this long after its last begin or finish. */
+    BUDGET_MAX_TURNS = 4096,          /**< Per program: limit of open reservations, and of settled turns kept. */
+    BUDGET_OVERHEAD_BYTES = 96        /**< Estimated allocator and hash table overhead per program. */
 };
 
-/** A turn that was reserved for and is not settled. */
 typedef struct budget_reservation_t {
-    uint64_t turn;   /**< Hash of the turn's id. */
-    uint64_t tokens; /**< Reserved. */
+    uint64_t turn; /**< Hash of the turn's id. */
+    uint64_t tokens;
 } budget_reservation_t;
 
-/** One program. */
 struct budget_program {
-    uint64_t committed;         /**< Tokens spent and reserved. */
-    uint64_t expires_ms;        /**< Time after which it is forgotten. */
-    char *server;               /**< Back end that ran its last turn and keeps its prompt, or NULL. */
-    budget_reservation_t *open; /**< Reservations that are not settled. */
-    uint64_t *settled;          /**< Hashes of settled turns: a late repeat of a begin reserves nothing. */
-    uint32_t open_count;        /**< Number of the first. */
-    uint32_t settled_count;     /**< Number of the second. */
-    uint32_t settled_capacity;  /**< Allocated of the second. */
-    UT_hash_handle hh;          /**< By id, in order of last use. */
-    char id[];                  /**< Program id. */
+    uint64_t committed; /**< Tokens spent plus tokens reserved. */
+    uint64_t expires_ms;
+    char *server; /**< Server that ran the last turn and may have its prompt cached, or NULL. */
+    budget_reservation_t *reservations;
+    uint64_t *settled; /**< Turn hashes, oldest first; a begin that arrives after its settlement reserves nothing. */
+    uint32_t reservation_count;
+    uint32_t settled_count;
+    uint32_t settled_capacity;
+    UT_hash_handle hh; /**< By id, least recently used first. */
+    char id[];
 };
 
-/** All programs. */
 struct budget_table {
-    struct budget_program *programs; /**< By id. */
-    size_t bytes;                    /**< Memory that they take. */
+    struct budget_program *programs;
+    size_t bytes; /**< Estimated memory use. */
 };
 
-/** Frees everything. */
 void budget_table_close(struct budget_table *table);
 
-/** Reserves; false: the budget does not hold it. The same turn again reserves nothing more. */
+/**
+ * Reserves the tokens of a turn. Returns false if the budget does not cover them or the program has BUDGET_MAX_TURNS
+ * open reservations. For a turn that is already reserved or settled, reserves nothing and returns true.
+ */
 bool budget_table_reserve(struct budget_table *table, uint64_t now_ms, const TurnBegin *begin);
 
-/** Back end that ran a program's last turn, or NULL. */
+/** Returns the server that ran the program's last settled turn, or NULL. Valid until the table changes. */
 const char *budget_table_server(const struct budget_table *table, const char *program);
 
-/** Replaces a turn's reservation by what was used, and notes its back end; the first settlement counts. */
+/** Replaces a turn's reservation by the tokens it used and stores its server. Only the first settlement counts. */
 void budget_table_settle(struct budget_table *table, uint64_t now_ms, const TurnFinish *finish);
 
-/** Forgets programs that were not used for BUDGET_RETENTION_MS. */
 void budget_table_expire(struct budget_table *table, uint64_t now_ms);
 
-/** Appends an encoded BudgetRecord. */
+/** Appends an encoded BudgetRecord to `out`. */
 void budget_program_export(const struct budget_program *program, struct buffer *out);
 
-/** Adds an exported program, also one of an older version. */
+/** Adds an exported program; accepts records of older versions. */
 void budget_table_import(struct budget_table *table, const BudgetRecord *record);
 
 #endif
--- a/src/core/config_store.c
+++ b/src/core/config_store.c
@@ -47,10 +47,10 @@
 
 static void config_item_remove(struct config_store *store, struct config_item *item)
 {
-    /* The analyzer does not know that an item in the order is in the table. */
+    /* Every item of the list is in the hash table, which the analyzer cannot know. */
     HASH_DEL(store->items, item); // NOLINT(clang-analyzer-core.NullDereference)
     config_unlink(store, item);
-    store->deletions -= item->deleted ? 1 : 0;
+    store->tombstones -= item->deleted ? 1 : 0;
     free(item->key);
     free(item->name);
     free(item->body);
@@ -94,7 +94,7 @@
     return item == NULL || item->deleted ? NULL : item;
 }
 
-/* Sets a resource's content at a revision; a deleted one keeps only its name. */
+/* Creates or replaces an item. If `deleted`, it becomes a tombstone and `body` is ignored. */
 static void config_item_set(struct config_store *store, ResourceKind kind, const char *name, struct view body,
                             bool deleted, uint64_t revision)
 {
@@ -107,24 +107,24 @@
         HASH_ADD_KEYPTR(hh, store->items, item->key, strlen(item->key), item);
     } else {
         config_unlink(store, item);
-        store->deletions -= item->deleted ? 1 : 0;
+        store->tombstones -= item->deleted ? 1 : 0;
         free(item->body);
     }
     item->body = deleted ? NULL : (uint8_t *)memory_copy(body.data, body.length);
     item->length = deleted ? 0 : body.length;
     item->deleted = deleted;
     item->revision = revision;
-    store->deletions += deleted ? 1 : 0;
+    store->tombstones += deleted ? 1 : 0;
     config_link_newest(store, item);
 }
 
-static void config_forget_deletions(struct config_store *store)
+static void config_drop_tombstones(struct config_store *store)
 {
     struct config_item *item = store->oldest;
-    while (item != NULL && store->deletions > CONFIG_KEPT_DELETIONS) {
+    while (item != NULL && store->tombstones > CONFIG_MAX_TOMBSTONES) {
         struct config_item *next = item->newer;
         if (item->deleted) {
-            store->forgotten_revision = item->revision;
+            store->compacted_revision = item->revision;
             config_item_remove(store, item);
         }
         item = next;
@@ -139,8 +139,8 @@
     return XXH64(change->body.data, change->body.length, hash);
 }
 
-static void config_remember(struct config_store *store, const ConfigChange *change, uint64_t hash,
-                            const EntryResult *result)
+static void config_record_request(struct config_store *store, const ConfigChange *change, uint64_t hash,
+                                  const EntryResult *result)
 {
     struct config_request *request = memory_new(sizeof(*request));
     request->id = text_copy(change->request_id);
@@ -180,15 +180,15 @@
 {
     uint64_t hash = config_change_hash(change);
     bool has_id = text_or_empty(change->request_id)[0] != '\0';
-    struct config_request *known = NULL;
+    struct config_request *previous = NULL;
     if (has_id) {
-        HASH_FIND_STR(store->requests, change->request_id, known);
+        HASH_FIND_STR(store->requests, change->request_id, previous);
     }
-    if (known != NULL) {
-        result->code = known->hash == hash ? known->code : RESULT_CONFLICT;
-        result->revision = known->revision;
-        result->message =
-            (char *)(uintptr_t)(known->hash == hash ? "answered before" : "the request id was used for another change");
+    if (previous != NULL) {
+        result->code = previous->hash == hash ? previous->code : RESULT_CONFLICT;
+        result->revision = previous->revision;
+        result->message = (char *)(uintptr_t)(previous->hash == hash ? "answered before"
+                                                                     : "the request id was used for another change");
         return;
     }
     const char *message = NULL;
@@ -198,11 +198,11 @@
         store->revision++;
         bool deleted = change->operation == CONFIG_DELETE;
         config_item_set(store, change->kind, change->name, change->body, deleted, store->revision);
-        config_forget_deletions(store);
+        config_drop_tombstones(store);
     }
     result->revision = store->revision;
     if (has_id) {
-        config_remember(store, change, hash, result);
+        config_record_request(store, change, hash, result);
     }
 }
 
@@ -211,7 +211,7 @@
     memset(state, 0, sizeof(*state));
     state->revision = store->revision;
     state->complete =
-        from_revision < store->forgotten_revision || from_revision == 0 || from_revision > store->revision;
+        from_revision < store->compacted_revision || from_revision == 0 || from_revision > store->revision;
     uint64_t after = state->complete ? 0 : from_revision;
     size_t count = 0;
     for (const struct config_item *item = store->newest; item != NULL && item->revision > after; item = item->older) {
@@ -244,20 +244,18 @@
     }
     if (state->complete) {
         config_store_clear_items(store);
-        store->forgotten_revision = state->revision;
+        store->compacted_revision = state->revision;
     }
-    /* Items come newest first; add them oldest first to keep the order. */
+    /* The items come newest first, but the list is built oldest first. */
     for (size_t i = state->items_count; i > 0; i--) {
         const ConfigItem *wire = &state->items[i - 1];
         config_item_set(store, wire->kind, wire->name, wire->body, wire->deleted, wire->revision);
     }
     store->revision = state->revision;
-    config_forget_deletions(store);
+    config_drop_tombstones(store);
     return true;
 }
 
-/* The snapshot borrows the store's strings: the caller encodes it at once and
- * frees only the arrays. */
 void config_store_export(const struct config_store *store, StateSnapshot *snapshot)
 {
     snapshot->has_config = true;
--- a/src/core/control_client.c
+++ b/src/core/control_client.c
@@ -5,11 +5,10 @@
 
 #include "base/message.h"
 
-enum { CONTROL_OWN_REQUEST_MS = 3000 };
+enum { CONTROL_INTERNAL_TIMEOUT_MS = 3000 };
 
-/* Spreads the request ids of different starts, so that a late answer to an
- * earlier start matches no request of this one. */
-static const uint64_t CONTROL_ID_SPREAD = 0x9e3779b97f4a7c15U;
+/* Spreads request ids by process start, so that a late reply to an earlier process matches no request of this one. */
+static const uint64_t CONTROL_ID_MULTIPLIER = 0x9e3779b97f4a7c15U;
 
 void control_client_init(struct control_client *client, const struct control_client_config *config,
                          const struct control_client_io *io)
@@ -21,7 +20,7 @@
         client->config.heartbeat_ms = CONTROL_HEARTBEAT_MS;
     }
     client->rotation = config->node;
-    client->next_id = config->boot_id * CONTROL_ID_SPREAD;
+    client->next_id = config->boot_id * CONTROL_ID_MULTIPLIER;
     config_store_init(&client->store);
     client->store.revision = 0;
 }
@@ -50,7 +49,7 @@
     return client->epoch != 0 && client->config_known && now_ms < client->lease_until_ms;
 }
 
-static uint32_t control_guess(struct control_client *client)
+static uint32_t control_next_replica(struct control_client *client)
 {
     if (client->config.replica_count == 0) {
         return RAFT_NO_NODE;
@@ -58,7 +57,7 @@
     return client->config.replicas[client->rotation++ % client->config.replica_count];
 }
 
-static bool control_send(struct control_client *client, uint32_t to, const Frame *frame)
+static bool control_send_frame(struct control_client *client, uint32_t to, const Frame *frame)
 {
     struct buffer encoded = {0};
     bool sent =
@@ -73,15 +72,15 @@
 
 /* ---- Requests ---------------------------------------------------------------- */
 
-static uint64_t control_retry_pause(const struct control_request *request)
+static uint64_t control_retry_pause_ms(const struct control_request *request)
 {
-    return request->patient ? CONTROL_PATIENT_MS : CONTROL_RETRY_MS;
+    return request->background ? CONTROL_BACKGROUND_RETRY_MS : CONTROL_RETRY_MS;
 }
 
-static void control_try(struct control_client *client, uint64_t now_ms, struct control_request *request)
+static void control_send_request(struct control_client *client, uint64_t now_ms, struct control_request *request)
 {
     uint32_t known = request->pinned ? request->target : client->leaders[request->group];
-    uint32_t target = known != RAFT_NO_NODE ? known : control_guess(client);
+    uint32_t target = known != RAFT_NO_NODE ? known : control_next_replica(client);
     Frame frame = {0};
     frame.group = request->group;
     frame.which_payload = Frame_request_tag;
@@ -90,7 +89,7 @@
     frame.payload.request.body = view_of(request->body, request->length);
     frame.payload.request.again = request->sent;
     request->target = target;
-    if (control_send(client, target, &frame)) {
+    if (control_send_frame(client, target, &frame)) {
         request->sent = true;
         request->sent_ms = now_ms;
         request->next_ms = request->pinned ? request->deadline_ms : now_ms + CONTROL_RESEND_MS;
@@ -100,12 +99,12 @@
         request->deadline_ms = now_ms;
         return;
     }
-    request->next_ms = now_ms + control_retry_pause(request);
+    request->next_ms = now_ms + control_retry_pause_ms(request);
     client->leaders[request->group] = RAFT_NO_NODE;
 }
 
-static struct control_request *control_add(struct control_client *client, uint32_t group, RequestKind kind,
-                                           struct view body, uint64_t deadline_ms, void *token)
+static struct control_request *control_create_request(struct control_client *client, uint32_t group, RequestKind kind,
+                                                      struct view body, uint64_t deadline_ms, void *token)
 {
     struct control_request *request = memory_new(sizeof(*request));
     request->id = ++client->next_id;
@@ -122,24 +121,24 @@
 void control_client_submit(struct control_client *client, uint64_t now_ms, uint32_t group, RequestKind kind,
                            struct view body, uint64_t deadline_ms, void *token)
 {
-    control_try(client, now_ms, control_add(client, group, kind, body, deadline_ms, token));
+    control_send_request(client, now_ms, control_create_request(client, group, kind, body, deadline_ms, token));
 }
 
-void control_client_post(struct control_client *client, uint64_t now_ms, uint32_t group, RequestKind kind,
-                         struct view body, uint64_t deadline_ms, void *token)
+void control_client_submit_background(struct control_client *client, uint64_t now_ms, uint32_t group, RequestKind kind,
+                                      struct view body, uint64_t deadline_ms, void *token)
 {
-    struct control_request *request = control_add(client, group, kind, body, deadline_ms, token);
-    request->patient = true;
-    control_try(client, now_ms, request);
+    struct control_request *request = control_create_request(client, group, kind, body, deadline_ms, token);
+    request->background = true;
+    control_send_request(client, now_ms, request);
 }
 
-void control_client_ask(struct control_client *client, uint64_t now_ms, uint32_t node, uint32_t group, RequestKind kind,
-                        struct view body, uint64_t deadline_ms, void *token)
+void control_client_submit_to_replica(struct control_client *client, uint64_t now_ms, uint32_t node, uint32_t group,
+                                      RequestKind kind, struct view body, uint64_t deadline_ms, void *token)
 {
-    struct control_request *request = control_add(client, group, kind, body, deadline_ms, token);
+    struct control_request *request = control_create_request(client, group, kind, body, deadline_ms, token);
     request->pinned = true;
     request->target = node;
-    control_try(client, now_ms, request);
+    control_send_request(client, now_ms, request);
 }
 
 void control_client_set_replicas(struct control_client *client, const uint32_t *nodes, uint32_t count)
@@ -150,7 +149,7 @@
     }
 }
 
-void control_client_forget(struct control_client *client, const void *token)
+void control_client_cancel(struct control_client *client, const void *token)
 {
     struct control_request *request;
     struct control_request *next;
@@ -162,17 +161,18 @@
     }
 }
 
-static void control_submit_own(struct control_client *client, uint64_t now_ms, RequestKind kind,
-                               const pb_msgdesc_t *fields, const void *message)
+static void control_submit_internal(struct control_client *client, uint64_t now_ms, RequestKind kind,
+                                    const pb_msgdesc_t *fields, const void *message)
 {
     struct buffer body = {0};
     message_encode(&body, fields, message);
-    control_client_submit(client, now_ms, STATE_CONFIG_GROUP, kind, buffer_view(&body), now_ms + CONTROL_OWN_REQUEST_MS,
-                          NULL);
+    control_client_submit(client, now_ms, STATE_CONFIG_GROUP, kind, buffer_view(&body),
+                          now_ms + CONTROL_INTERNAL_TIMEOUT_MS, NULL);
     buffer_close(&body);
 }
 
-static void control_own_complete(struct control_client *client, RequestKind kind, ResultCode code, struct view body)
+static void control_complete_internal(struct control_client *client, RequestKind kind, ResultCode code,
+                                      struct view body)
 {
     if (kind == REQUEST_CONFIG) {
         client->config_requested = false;
@@ -185,7 +185,7 @@
             client->io.config_changed(client->io.context, &client->store);
         }
         client->config_known = true;
-        client->heartbeat_due_ms = 0; /* tell the leader at once what is in force */
+        client->heartbeat_due_ms = 0; /* report the new revision to the leader at once */
         message_free(ConfigState_fields, &state);
         return;
     }
@@ -205,7 +205,7 @@
     RequestKind kind = request->kind;
     control_request_free(client, request);
     if (token == NULL) {
-        control_own_complete(client, kind, code, body);
+        control_complete_internal(client, kind, code, body);
         return;
     }
     client->io.complete(client->io.context, token, code, body);
@@ -214,16 +214,16 @@
 static void control_redirect(struct control_client *client, uint64_t now_ms, struct control_request *request,
                              uint32_t from, uint32_t leader)
 {
-    bool better = leader != RAFT_NO_NODE && leader != from;
-    client->leaders[request->group] = better ? leader : RAFT_NO_NODE;
-    request->next_ms = better ? now_ms : now_ms + control_retry_pause(request);
-    if (better) {
-        control_try(client, now_ms, request);
+    bool has_other_leader = leader != RAFT_NO_NODE && leader != from;
+    client->leaders[request->group] = has_other_leader ? leader : RAFT_NO_NODE;
+    request->next_ms = has_other_leader ? now_ms : now_ms + control_retry_pause_ms(request);
+    if (has_other_leader) {
+        control_send_request(client, now_ms, request);
     }
 }
 
-/* Requests that paused for want of a leader go on at once. */
-static void control_learn_leader(struct control_client *client, uint64_t now_ms, uint32_t group, uint32_t leader)
+/* Also makes the group's requests that were sent to other replicas due at once. */
+static void control_set_leader(struct control_client *client, uint64_t now_ms, uint32_t group, uint32_t leader)
 {
     if (client->leaders[group] == leader) {
         return;
@@ -238,9 +238,9 @@
 
 void control_client_hint_leader(struct control_client *client, uint64_t now_ms, uint32_t group, uint32_t leader)
 {
-    bool silent = now_ms >= client->heard_ms[group] + CONTROL_RESEND_MS;
+    bool silent = now_ms >= client->leader_contact_ms[group] + CONTROL_RESEND_MS;
     if (leader != RAFT_NO_NODE && (client->leaders[group] == RAFT_NO_NODE || silent)) {
-        control_learn_leader(client, now_ms, group, leader);
+        control_set_leader(client, now_ms, group, leader);
     }
 }
 
@@ -258,7 +258,7 @@
         return;
     }
     if (reply->leader != RAFT_NO_NODE) {
-        control_learn_leader(client, now_ms, request->group, reply->leader);
+        control_set_leader(client, now_ms, request->group, reply->leader);
     }
     control_complete(client, request, reply->code, reply->body);
 }
@@ -279,14 +279,14 @@
 
 /* ---- Heartbeats, lease and configuration ---------------------------------------- */
 
-static void control_heartbeat(struct control_client *client, uint64_t now_ms)
+static void control_send_heartbeat(struct control_client *client, uint64_t now_ms)
 {
     client->heartbeat_due_ms = now_ms + client->config.heartbeat_ms;
-    if (now_ms > client->heartbeat_answered_ms + CONTROL_SILENCE_MS) {
+    if (now_ms > client->heartbeat_answered_ms + CONTROL_HEARTBEAT_TIMEOUT_MS) {
         client->leaders[STATE_CONFIG_GROUP] = RAFT_NO_NODE;
     }
     uint32_t known = client->leaders[STATE_CONFIG_GROUP];
-    uint32_t target = known != RAFT_NO_NODE ? known : control_guess(client);
+    uint32_t target = known != RAFT_NO_NODE ? known : control_next_replica(client);
     Frame frame = {0};
     frame.group = STATE_CONFIG_GROUP;
     frame.which_payload = Frame_heartbeat_tag;
@@ -294,7 +294,7 @@
     frame.payload.heartbeat.epoch = client->epoch;
     frame.payload.heartbeat.draining = client->draining;
     frame.payload.heartbeat.sent_ms = now_ms;
-    if (!control_send(client, target, &frame)) {
+    if (!control_send_frame(client, target, &frame)) {
         client->leaders[STATE_CONFIG_GROUP] = RAFT_NO_NODE;
     }
 }
@@ -309,7 +309,7 @@
     entry.which_command = Entry_gateway_lease_tag;
     entry.command.gateway_lease.gateway = client->config.node;
     entry.command.gateway_lease.boot_id = client->config.boot_id;
-    control_submit_own(client, now_ms, REQUEST_PROPOSE, Entry_fields, &entry);
+    control_submit_internal(client, now_ms, REQUEST_PROPOSE, Entry_fields, &entry);
 }
 
 static void control_request_config(struct control_client *client, uint64_t now_ms)
@@ -319,14 +319,14 @@
     }
     client->config_requested = true;
     ConfigQuery query = {.from_revision = client->store.revision};
-    control_submit_own(client, now_ms, REQUEST_CONFIG, ConfigQuery_fields, &query);
+    control_submit_internal(client, now_ms, REQUEST_CONFIG, ConfigQuery_fields, &query);
 }
 
 static void control_handle_heartbeat_reply(struct control_client *client, uint64_t now_ms, const HeartbeatReply *reply)
 {
     if (reply->lease_ms == 0) {
         client->leaders[STATE_CONFIG_GROUP] = reply->leader;
-        uint64_t pause_ms = reply->leader != RAFT_NO_NODE ? CONTROL_RETRY_MS : CONTROL_SEARCH_MS;
+        uint64_t pause_ms = reply->leader != RAFT_NO_NODE ? CONTROL_RETRY_MS : CONTROL_DISCOVERY_PERIOD_MS;
         if (client->heartbeat_due_ms > now_ms + pause_ms) {
             client->heartbeat_due_ms = now_ms + pause_ms;
         }
@@ -349,18 +349,18 @@
     }
 }
 
-void control_client_note_heard(struct control_client *client, uint64_t now_ms, uint32_t from)
+void control_client_record_received(struct control_client *client, uint64_t now_ms, uint32_t from)
 {
     for (uint32_t group = 0; group < client->config.groups; group++) {
         if (client->leaders[group] == from) {
-            client->heard_ms[group] = now_ms;
+            client->leader_contact_ms[group] = now_ms;
         }
     }
 }
 
 void control_client_receive(struct control_client *client, uint64_t now_ms, uint32_t from, const Frame *frame)
 {
-    control_client_note_heard(client, now_ms, from);
+    control_client_record_received(client, now_ms, from);
     switch (frame->which_payload) {
     case Frame_reply_tag: control_handle_reply(client, now_ms, from, &frame->payload.reply); break;
     case Frame_heartbeat_reply_tag:
@@ -370,33 +370,34 @@
     }
 }
 
-/* Whether the leader that has it lives and is merely slow to answer. */
-static bool control_is_slow(const struct control_client *client, uint64_t now_ms, const struct control_request *request)
+/* Whether the leader to which the request was sent has sent other frames since: it is alive, but slow. */
+static bool control_is_leader_slow(const struct control_client *client, uint64_t now_ms,
+                                   const struct control_request *request)
 {
-    bool heard =
-        request->target == client->leaders[request->group] && client->heard_ms[request->group] > request->sent_ms;
-    return heard && request->sent && now_ms < request->sent_ms + CONTROL_SLOW_MS;
+    bool heard = request->target == client->leaders[request->group] &&
+                 client->leader_contact_ms[request->group] > request->sent_ms;
+    return heard && request->sent && now_ms < request->sent_ms + CONTROL_SLOW_LEADER_RESEND_MS;
 }
 
 void control_client_tick(struct control_client *client, uint64_t now_ms)
 {
     if (!client->config.requests_only && now_ms >= client->heartbeat_due_ms) {
-        control_heartbeat(client, now_ms);
+        control_send_heartbeat(client, now_ms);
     }
     struct control_request *request;
     struct control_request *next;
     HASH_ITER(hh, client->requests, request, next)
     {
         if (now_ms >= request->deadline_ms) {
-            bool open = request->sent && !request->pinned;
-            control_complete(client, request, open ? RESULT_TIMEOUT : RESULT_UNAVAILABLE, view_of(NULL, 0));
+            bool may_be_received = request->sent && !request->pinned;
+            control_complete(client, request, may_be_received ? RESULT_TIMEOUT : RESULT_UNAVAILABLE, view_of(NULL, 0));
             continue;
         }
-        if (now_ms >= request->next_ms && !control_is_slow(client, now_ms, request)) {
+        if (now_ms >= request->next_ms && !control_is_leader_slow(client, now_ms, request)) {
             if (request->target == client->leaders[request->group]) {
                 client->leaders[request->group] = RAFT_NO_NODE;
             }
-            control_try(client, now_ms, request);
+            control_send_request(client, now_ms, request);
         }
     }
 }
--- a/src/core/health.c
+++ b/src/core/health.c
@@ -1,12 +1,12 @@
 #include "core/health.h"
 
-enum { HEALTH_SHIFT_MAX = 16 /* half-lives after which nothing is left of a share */ };
+enum { HEALTH_MAX_HALVINGS = 16 /* fraction bits of HEALTH_ONE; any share counts as 0 after this many */ };
 
 uint32_t health_share(const health_t *health, uint64_t now_ms)
 {
-    uint64_t age_ms = now_ms > health->noted_ms ? now_ms - health->noted_ms : 0;
+    uint64_t age_ms = now_ms > health->updated_ms ? now_ms - health->updated_ms : 0;
     uint64_t halvings = age_ms / HEALTH_HALF_LIFE_MS;
-    if (halvings >= HEALTH_SHIFT_MAX) {
+    if (halvings >= HEALTH_MAX_HALVINGS) {
         return 0;
     }
     uint32_t share = health->share >> halvings;
@@ -14,7 +14,7 @@
     return share - (uint32_t)(share * rest_ms / (2 * (uint64_t)HEALTH_HALF_LIFE_MS));
 }
 
-static uint32_t health_weight(health_outcome_t outcome)
+static uint32_t health_failure_share(health_outcome_t outcome)
 {
     switch (outcome) {
     case HEALTH_SERVED: return 0;
@@ -25,25 +25,25 @@
     return 0;
 }
 
-void health_note(health_t *health, uint64_t now_ms, health_outcome_t outcome)
+void health_record(health_t *health, uint64_t now_ms, health_outcome_t outcome)
 {
     uint32_t share = health_share(health, now_ms);
-    health->share = share - share / HEALTH_WINDOW + health_weight(outcome) / HEALTH_WINDOW;
-    health->noted_ms = now_ms;
+    health->share = share - share / HEALTH_AVERAGE_DIVISOR + health_failure_share(outcome) / HEALTH_AVERAGE_DIVISOR;
+    health->updated_ms = now_ms;
 }
 
-uint32_t health_calls(uint32_t share)
+uint32_t health_penalty_requests(uint32_t share)
 {
-    uint32_t counted = share > HEALTH_EXCUSED ? share - HEALTH_EXCUSED : 0;
-    return (uint32_t)((uint64_t)counted * HEALTH_CALLS / HEALTH_ONE);
+    uint32_t counted = share > HEALTH_TOLERATED_SHARE ? share - HEALTH_TOLERATED_SHARE : 0;
+    return (uint32_t)((uint64_t)counted * HEALTH_PENALTY_REQUESTS / HEALTH_ONE);
 }
 
 bool health_is_bad(uint32_t share)
 {
-    return share > HEALTH_EXCUSED;
+    return share > HEALTH_TOLERATED_SHARE;
 }
 
-bool health_told_failing(bool told, uint32_t share)
+bool health_should_log_failing(bool was_failing, uint32_t share)
 {
-    return told ? share >= HEALTH_SOUND : health_is_bad(share);
+    return was_failing ? share >= HEALTH_RECOVERED_SHARE : health_is_bad(share);
 }
--- a/src/core/health.h
+++ b/src/core/health.h
@@ -1,15 +1,13 @@
 /**
  * @file health.h
- * How often a server has failed lately, as one gateway's own traffic shows it.
- * Pure.
+ * Passive health check: the failure share of a server, an exponential moving
+ * average over the outcomes of one gateway's requests. Finds partial failures
+ * that active checks miss. No I/O; callers pass the time.
  *
- * A health check that answers well says little: a server may fail some of its
- * requests, refuse them with room to spare, or leave them without an answer.
- * The share of failures is a moving average over outcomes that also fades with
- * time, so that a server that is avoided is tried again gently. What is above the
- * share that a single failure leaves counts as calls when servers are compared
- * (server_table.h): one that fails now and then is not avoided, and where all
- * fail alike none is.
+ * The share also decays with time, so that an avoided server gradually receives
+ * requests again. The part above HEALTH_TOLERATED_SHARE counts as additional
+ * in-flight requests when servers are compared (server_table.h): an occasional
+ * failure has no effect, and servers that all fail equally are treated alike.
  */
 #ifndef BANKBANK_CORE_HEALTH_H
 #define BANKBANK_CORE_HEALTH_H
@@ -18,43 +16,44 @@
 #include <stdint.h>
 
 enum {
-    HEALTH_ONE = 1 << 16,                 /**< A share of 1. */
-    HEALTH_HALF_LIFE_MS = 4000,           /**< Time in which a share halves without outcomes. */
-    HEALTH_WINDOW = 4,                    /**< An outcome moves the share by one part in so many. */
-    HEALTH_CALLS = 100,                   /**< Calls that a share of 1 beyond HEALTH_EXCUSED counts as. */
-    HEALTH_EXCUSED = HEALTH_ONE * 3 / 10, /**< Share that counts for nothing: more than one failure leaves. */
-    HEALTH_SOUND = HEALTH_ONE / 10,       /**< Share below which a server that failed counts as sound in the log. */
-    HEALTH_UNANSWERED_MS = 800,           /**< An attempt without an answer for that long has failed, at least. */
-    HEALTH_UNANSWERED_AIMS = 4            /**< And for so many times the latency that its route aims at. */
+    HEALTH_ONE = 1 << 16,                         /**< Fixed-point 1. */
+    HEALTH_HALF_LIFE_MS = 4000,                   /**< Half-life of a share without new outcomes. */
+    HEALTH_AVERAGE_DIVISOR = 4,                   /**< The weight of a new outcome in the average is 1 / this. */
+    HEALTH_PENALTY_REQUESTS = 100,                /**< Additional requests per share of 1 above the tolerated share. */
+    HEALTH_TOLERATED_SHARE = HEALTH_ONE * 3 / 10, /**< No effect up to this; a single failure stays below. */
+    HEALTH_RECOVERED_SHARE = HEALTH_ONE / 10,     /**< A failing server is logged as recovered below this. */
+    HEALTH_UNANSWERED_MS = 800,                   /**< Minimum time without a response that counts as a failure. */
+    HEALTH_UNANSWERED_TARGETS = 4 /**< The same as a multiple of the route's target latency; the longer time applies. */
 };
 
-/** How one attempt ended. */
 typedef enum health_outcome_t {
-    HEALTH_SERVED,    /**< A whole answer that is no error of the server. */
-    HEALTH_FAILED,    /**< It broke off, was wrong, or is an error of the server. */
-    HEALTH_REFUSED,   /**< It was refused although the server seemed to have room. */
-    HEALTH_UNANSWERED /**< No answer has begun for longer than its kind takes. */
+    HEALTH_SERVED,    /**< Complete response that is not a server error. */
+    HEALTH_FAILED,    /**< Incomplete or invalid response, or a server error. */
+    HEALTH_REFUSED,   /**< Refused although the server appeared to have free slots. */
+    HEALTH_UNANSWERED /**< No response started within the expected time. */
 } health_outcome_t;
 
-/** Health of one server; all zero: nothing is known against it. */
+/** All zero: no failures known. */
 typedef struct health_t {
-    uint32_t share;    /**< Share of failures at `noted_ms`, of HEALTH_ONE. */
-    uint64_t noted_ms; /**< Time of the last outcome. */
+    uint32_t share; /**< Failure share at `updated_ms`, in units of 1 / HEALTH_ONE. */
+    uint64_t updated_ms;
 } health_t;
 
-/** Notes an outcome. */
-void health_note(health_t *health, uint64_t now_ms, health_outcome_t outcome);
+void health_record(health_t *health, uint64_t now_ms, health_outcome_t outcome);
 
-/** Share of failures now, of HEALTH_ONE. */
+/** In units of 1 / HEALTH_ONE. */
 uint32_t health_share(const health_t *health, uint64_t now_ms);
 
-/** Calls that a share counts as when servers are compared. */
-uint32_t health_calls(uint32_t share);
+/** Additional in-flight requests that a share counts as when servers are compared. */
+uint32_t health_penalty_requests(uint32_t share);
 
-/** Whether a program should leave its home for such a share. */
+/** Whether a share is above HEALTH_TOLERATED_SHARE. */
 bool health_is_bad(uint32_t share);
 
-/** What the log tells of a server: it fails above HEALTH_EXCUSED, and is sound again below HEALTH_SOUND only. */
-bool health_told_failing(bool told, uint32_t share);
+/**
+ * Whether to log the server as failing, with hysteresis: true from above HEALTH_TOLERATED_SHARE until below
+ * HEALTH_RECOVERED_SHARE.
+ */
+bool health_should_log_failing(bool was_failing, uint32_t share);
 
 #endif
--- a/src/core/history.h
+++ b/src/core/history.h
@@ -1,7 +1,7 @@
 /**
  * @file history.h
- * Where conversation text is kept: the ledger holds references, the host
- * holds the bytes (files in the daemon, memory in the simulator).
+ * Interface to the store of conversation texts. State machines hold references;
+ * the host holds the bytes: in files in the daemon, in memory in the simulator.
  */
 #ifndef BANKBANK_CORE_HISTORY_H
 #define BANKBANK_CORE_HISTORY_H
@@ -11,26 +11,25 @@
 
 #include "base/buffer.h"
 
-/** Place of one stored text; length 0 means no text. */
+/** Byte range of a text in a segment; length 0: no text. */
 struct history_ref {
-    uint64_t offset;  /**< Byte offset in the segment. */
-    uint32_t segment; /**< Segment number. */
-    uint32_t length;  /**< Bytes. */
+    uint64_t offset;
+    uint32_t segment;
+    uint32_t length;
 };
 
-/** Operations of a history store. */
 struct history_io {
     void *context; /**< First argument of every function. */
-    /** Stores `text` and sets `ref`; durable after the next snapshot. */
+    /** Stores a text and sets `ref`. The text is durable after the next snapshot. */
     void (*append)(void *context, struct view text, struct history_ref *ref);
-    /** Appends the text at `ref` to `out`; false if it cannot be read. */
+    /** Appends the text at `ref` to `out`. Returns false if it cannot be read. */
     bool (*read)(void *context, const struct history_ref *ref, struct buffer *out);
-    /** Tells that the text at `ref` is no longer needed. */
-    void (*drop)(void *context, const struct history_ref *ref);
-    /** Tells that a text restored from a snapshot is in use. */
-    void (*keep)(void *context, const struct history_ref *ref);
-    /** May give back the room of texts that are not in use; NULL: nothing to do. */
-    void (*sweep)(void *context);
+    /** Marks a text as unused. */
+    void (*release)(void *context, const struct history_ref *ref);
+    /** Marks a text whose reference was restored from a snapshot as in use. */
+    void (*mark_used)(void *context, const struct history_ref *ref);
+    /** Reclaims the space of unused texts where possible. May be NULL. */
+    void (*reclaim)(void *context);
 };
 
 #endif
--- a/src/core/lease_table.c
+++ b/src/core/lease_table.c
@@ -32,7 +32,7 @@
     return lease;
 }
 
-static void lease_table_expire(struct lease *lease, const GatewayLease *change, EntryResult *result)
+static void lease_expire(struct lease *lease, const GatewayLease *change, EntryResult *result)
 {
     if (lease == NULL || lease->epoch != change->epoch) {
         result->code = RESULT_NOT_FOUND;
@@ -46,7 +46,7 @@
 {
     struct lease *lease = lease_table_find(table, change->gateway);
     if (change->expire) {
-        lease_table_expire(lease, change, result);
+        lease_expire(lease, change, result);
         return;
     }
     if (lease == NULL) {
@@ -61,7 +61,7 @@
     result->epoch = lease->epoch;
 }
 
-bool lease_table_is_over(const struct lease_table *table, uint32_t gateway, uint64_t epoch)
+bool lease_table_has_ended(const struct lease_table *table, uint32_t gateway, uint64_t epoch)
 {
     const struct lease *lease = lease_table_find(table, gateway);
     if (lease == NULL) {
--- a/src/core/lease_table.h
+++ b/src/core/lease_table.h
@@ -1,8 +1,8 @@
 /**
  * @file lease_table.h
- * Leases of the gateways: each start of a daemon gets a new epoch, larger
- * than all before. A lease that is expired never comes back; its daemon must
- * obtain a new epoch. Renewal is volatile on the leader and not logged.
+ * Leases of the gateways, with fencing epochs. Each start of a daemon gets an
+ * epoch larger than all earlier ones. An expired lease is never reactivated: its
+ * daemon must obtain a new epoch. Renewals are not written to the log.
  */
 #ifndef BANKBANK_CORE_LEASE_TABLE_H
 #define BANKBANK_CORE_LEASE_TABLE_H
@@ -14,36 +14,32 @@
 
 #include "control.pb.h"
 
-/** The lease of one daemon. */
 struct lease {
-    uint32_t gateway;       /**< Daemon's node id. */
-    uint64_t boot_id;       /**< Random id of the daemon's start. */
-    uint64_t epoch;         /**< Fencing epoch. */
-    bool expired;           /**< The lease has ended. */
-    uint64_t last_heard_ms; /**< Leader only, volatile: monotonic time of the last heartbeat. */
-    uint64_t revision;      /**< Leader only, volatile: configuration in force there. */
-    UT_hash_handle hh;      /**< By gateway. */
+    uint32_t gateway; /**< Node id of the daemon. */
+    uint64_t boot_id; /**< Random, new at each start of the daemon. */
+    uint64_t epoch;
+    bool expired;
+    uint64_t last_heartbeat_ms; /**< Leader only, volatile: monotonic time of the last heartbeat. */
+    uint64_t revision;          /**< Leader only, volatile: revision of the configuration active at the daemon. */
+    UT_hash_handle hh;          /**< By gateway. */
 };
 
-/** All leases. */
 struct lease_table {
-    struct lease *leases; /**< By gateway. */
-    uint64_t last_epoch;  /**< Highest epoch given. */
+    struct lease *leases;
+    uint64_t last_epoch;
 };
 
-/** Frees the table. */
 void lease_table_close(struct lease_table *table);
 
-/** Grants or expires a lease; the result carries the epoch. */
+/** Grants or expires a lease and sets `result->epoch`. Expiring an unknown epoch fails with RESULT_NOT_FOUND. */
 void lease_table_apply(struct lease_table *table, const GatewayLease *change, EntryResult *result);
 
-/** The lease of a daemon, or NULL. */
+/** Returns NULL if there is none. */
 struct lease *lease_table_find(const struct lease_table *table, uint32_t gateway);
 
-/** Whether the start of `gateway` with `epoch` is known to be over. */
-bool lease_table_is_over(const struct lease_table *table, uint32_t gateway, uint64_t epoch);
+/** Whether `epoch` has expired or was superseded by a later one; false if the gateway is unknown. */
+bool lease_table_has_ended(const struct lease_table *table, uint32_t gateway, uint64_t epoch);
 
-/** Fills the lease part of a snapshot, and loads it. */
 void lease_table_export(const struct lease_table *table, StateSnapshot *snapshot);
 void lease_table_import(struct lease_table *table, const StateSnapshot *snapshot);
 
--- a/src/core/ledger.c
+++ b/src/core/ledger.c
@@ -11,7 +11,7 @@
     ledger->history = *history;
 }
 
-/* Reasons that engines give; kept once instead of with every call. */
+/* Finish reasons interned by ledger_reason_intern(). */
 static const char *const ledger_known_reasons[] = {"stop", "length", "tool_calls", "content_filter", "function_call"};
 
 static const char *ledger_known_reason(const char *reason)
@@ -24,7 +24,7 @@
     return NULL;
 }
 
-char *ledger_reason_keep(const char *reason)
+char *ledger_reason_intern(const char *reason)
 {
     const char *known = ledger_known_reason(reason);
     if (text_or_empty(reason)[0] == '\0') {
@@ -42,8 +42,8 @@
 
 void ledger_call_close(struct ledger *ledger, struct ledger_call *call)
 {
-    ledger->history.drop(ledger->history.context, &call->messages);
-    ledger->history.drop(ledger->history.context, &call->answer);
+    ledger->history.release(ledger->history.context, &call->messages);
+    ledger->history.release(ledger->history.context, &call->answer);
     free(call->idempotency_key);
     ledger_reason_free(call->finish_reason);
 }
@@ -102,7 +102,7 @@
     return program;
 }
 
-/* Links a program below its parent, if that is known. */
+/* No effect if the parent does not exist here, as for a root. */
 void ledger_attach(struct ledger *ledger, struct ledger_program *program)
 {
     struct ledger_program *parent = ledger_find(ledger, program->parent);
@@ -144,7 +144,7 @@
     for (uint32_t i = 0; i < program->call_count; i++) {
         ledger_call_close(ledger, &program->calls[i]);
     }
-    ledger->history.drop(ledger->history.context, &program->imported);
+    ledger->history.release(ledger->history.context, &program->imported);
     for (uint32_t i = 0; i < program->held_count; i++) {
         free(program->held_engines[i]);
     }
@@ -155,7 +155,7 @@
     free(program->policy);
     free(program->parent);
     free(program->engine);
-    free(program->owner);
+    free(program->handover_site);
     free(program);
 }
 
@@ -181,7 +181,7 @@
     }
 }
 
-static void ledger_keep_text(void *context, const struct history_ref *ref)
+static void ledger_ignore_text_release(void *context, const struct history_ref *ref)
 {
     (void)context;
     (void)ref;
@@ -189,7 +189,7 @@
 
 void ledger_close(struct ledger *ledger)
 {
-    ledger->history.drop = ledger_keep_text;
+    ledger->history.release = ledger_ignore_text_release;
     ledger_clear(ledger);
     buffer_close(&ledger->scratch);
 }
@@ -260,7 +260,7 @@
     ledger_attach(ledger, program);
 }
 
-void ledger_hold_engine(struct ledger_program *program, const char *engine)
+void ledger_add_engine(struct ledger_program *program, const char *engine)
 {
     if (text_or_empty(engine)[0] == '\0') {
         return;
@@ -309,7 +309,6 @@
     }
 }
 
-/* Ends one program and everything below it. */
 void ledger_end(struct ledger *ledger, struct ledger_program *program)
 {
     if (program->state == LEDGER_PROGRAM_ENDED) {
@@ -346,9 +345,8 @@
     return now_ms > program->last_active_ms + limit;
 }
 
-/* Programs are visited from the least recently active, so ended ones that
- * outlive their retention behind an idle open one wait for that one; both
- * limits are bounded, so is the wait. */
+/* Checks only the least recently active program. An ended program may therefore outlive its retention behind an open
+ * one, by at most LEDGER_DEFAULT_IDLE_MS. */
 bool ledger_expiry_due(const struct ledger *ledger, uint64_t now_ms)
 {
     return ledger->oldest != NULL && ledger_is_expired(ledger->oldest, now_ms);
@@ -408,9 +406,9 @@
     }
     switch (entry->which_command) {
     case Entry_program_create_tag: ledger_create(ledger, &entry->command.program_create, result); break;
-    case Entry_call_begin_tag: ledger_begin(ledger, owner_expired, &entry->command.call_begin, result); break;
-    case Entry_call_finish_tag: ledger_finish(ledger, &entry->command.call_finish, result); break;
-    case Entry_call_abort_tag: ledger_abort(ledger, &entry->command.call_abort); break;
+    case Entry_call_begin_tag: ledger_begin_call(ledger, owner_expired, &entry->command.call_begin, result); break;
+    case Entry_call_finish_tag: ledger_finish_call(ledger, &entry->command.call_finish, result); break;
+    case Entry_call_abort_tag: ledger_abort_call(ledger, &entry->command.call_abort); break;
     case Entry_program_end_tag: ledger_end_by_id(ledger, &entry->command.program_end, result); break;
     case Entry_program_expire_tag: ledger_expire(ledger, &entry->command.program_expire); break;
     case Entry_memory_release_tag: ledger_confirm_release(ledger, &entry->command.memory_release); break;
--- a/src/core/ledger_calls.c
+++ b/src/core/ledger_calls.c
@@ -5,9 +5,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-enum { LEDGER_LOST_MS = 1 /* expiry, long past, of an attempt that was given up */ };
+enum { LEDGER_EXPIRES_LOST_MS = 1 /* expires_ms of an attempt known to be lost: always in the past */ };
 
-/* ---- Budget: charged to the program and all its ancestors ---------------- */
+/* ---- Budget, charged to the program and all its ancestors ---------------- */
 
 static uint64_t ledger_remaining(const struct ledger_program *program)
 {
@@ -30,7 +30,7 @@
     }
 }
 
-/* Replaces the running call's reservation by what was spent. */
+/* Replaces the reservation of the running call by the tokens spent. */
 static void ledger_settle(struct ledger_program *program, uint64_t spent)
 {
     for (struct ledger_program *p = program; p != NULL; p = p->parent_program) {
@@ -43,13 +43,13 @@
 
 /* ---- Lookup ---------------------------------------------------------------- */
 
-static struct ledger_call *ledger_call_by_number(struct ledger_program *program, uint32_t number)
+static struct ledger_call *ledger_find_call_by_number(struct ledger_program *program, uint32_t number)
 {
     bool stored = number >= program->first_call && number < program->first_call + program->call_count;
     return stored ? &program->calls[number - program->first_call] : NULL;
 }
 
-static struct ledger_call *ledger_call_by_key(struct ledger_program *program, const char *key)
+static struct ledger_call *ledger_find_call_by_key(struct ledger_program *program, const char *key)
 {
     if (text_or_empty(key)[0] == '\0') {
         return NULL;
@@ -65,7 +65,8 @@
 
 /* ---- Begin ----------------------------------------------------------------- */
 
-static void ledger_describe(struct ledger_program *program, const struct ledger_call *call, EntryResult *result)
+static void ledger_fill_begin_result(struct ledger_program *program, const struct ledger_call *call,
+                                     EntryResult *result)
 {
     result->call = call->number;
     result->granted_tokens = program->running.granted;
@@ -95,7 +96,8 @@
     result->finished_s = call->finished_s;
 }
 
-/* Reserves the bound of prompt and completion; false if the budget is short. */
+/* Reserves an upper bound of the tokens of an attempt and limits its completion to the budget. Returns false if the
+ * budget does not cover the prompt and one token. */
 static bool ledger_grant(struct ledger_program *program, const CallBegin *begin)
 {
     struct ledger_running *running = &program->running;
@@ -128,10 +130,10 @@
     program->next_call = call->number + 1;
 }
 
-/* The gateway of the running attempt is gone. A repeatable call gets another
- * attempt; what the lost one may have spent stays charged. */
-static void ledger_take_over(const struct ledger *ledger, struct ledger_program *program, struct ledger_call *call,
-                             const CallBegin *begin, EntryResult *result)
+/* Replaces a lost attempt by a new one, or sets the call to unknown. The reservation of the lost attempt is charged as
+ * spent, since it may have run. */
+static void ledger_retry_call(const struct ledger *ledger, struct ledger_program *program, struct ledger_call *call,
+                              const CallBegin *begin, EntryResult *result)
 {
     if (!call->repeatable) {
         ledger_mark_unknown(program, call);
@@ -147,24 +149,24 @@
     }
     ledger_assign_attempt(ledger, program, call, begin);
     program->running.after_loss = true;
-    ledger_describe(program, call, result);
+    ledger_fill_begin_result(program, call, result);
 }
 
-/* Whether nobody runs the running call any more: its gateway is gone, its time
- * is up (a delayed copy of a begin can start an attempt that nobody runs), or it
- * was given up with an unknown outcome. */
-static bool ledger_is_lost(const struct ledger *ledger, const struct ledger_program *program, bool owner_expired)
+/* An attempt is lost if the lease of its gateway expired, it timed out (a delayed copy of a begin can start an attempt
+ * that no gateway runs), or it was aborted with an unknown outcome. */
+static bool ledger_attempt_is_lost(const struct ledger *ledger, const struct ledger_program *program,
+                                   bool owner_expired)
 {
     uint64_t expires_ms = program->running.expires_ms;
     return owner_expired || (expires_ms != 0 && ledger->time_ms > expires_ms);
 }
 
-/* A caller that goes on to the next call leaves a lost one behind for good. */
-static void ledger_leave_lost_call(const struct ledger *ledger, struct ledger_program *program, bool owner_expired,
-                                   const CallBegin *begin)
+/* Sets a lost call to unknown if the caller begins the next call instead of retrying it. */
+static void ledger_abandon_lost_call(const struct ledger *ledger, struct ledger_program *program, bool owner_expired,
+                                     const CallBegin *begin)
 {
     struct ledger_call *running = ledger_running_call(program);
-    if (running == NULL || !ledger_is_lost(ledger, program, owner_expired)) {
+    if (running == NULL || !ledger_attempt_is_lost(ledger, program, owner_expired)) {
         return;
     }
     bool next = begin->call == running->number + 1;
@@ -174,8 +176,8 @@
     }
 }
 
-static void ledger_begin_known(struct ledger *ledger, struct ledger_program *program, struct ledger_call *call,
-                               bool owner_expired, const CallBegin *begin, EntryResult *result)
+static void ledger_begin_existing(struct ledger *ledger, struct ledger_program *program, struct ledger_call *call,
+                                  bool owner_expired, const CallBegin *begin, EntryResult *result)
 {
     result->call = call->number;
     if (call->body_hash != begin->body_hash) {
@@ -191,12 +193,12 @@
         return;
     }
     if (text_equal(call->attempt, begin->attempt)) {
-        ledger_describe(program, call, result);
+        ledger_fill_begin_result(program, call, result);
         return;
     }
     bool replaces = text_or_empty(begin->replaces)[0] != '\0' && text_equal(call->attempt, begin->replaces);
-    if (replaces || ledger_is_lost(ledger, program, owner_expired)) {
-        ledger_take_over(ledger, program, call, begin, result);
+    if (replaces || ledger_attempt_is_lost(ledger, program, owner_expired)) {
+        ledger_retry_call(ledger, program, call, begin, result);
         return;
     }
     ledger_fail(result, RESULT_IN_PROGRESS, "the call is running");
@@ -241,7 +243,7 @@
     ledger->history.append(ledger->history.context, view_of_string(begin->messages), &call.messages);
     program->calls = memory_resize(program->calls, (program->call_count + 1) * sizeof(call));
     program->calls[program->call_count++] = call;
-    ledger_describe(program, &call, result);
+    ledger_fill_begin_result(program, &call, result);
 }
 
 static bool ledger_is_owned_here(const struct ledger_program *program)
@@ -249,7 +251,7 @@
     return program->state == LEDGER_PROGRAM_OPEN || program->state == LEDGER_PROGRAM_ENDED;
 }
 
-void ledger_begin(struct ledger *ledger, bool owner_expired, const CallBegin *begin, EntryResult *result)
+void ledger_begin_call(struct ledger *ledger, bool owner_expired, const CallBegin *begin, EntryResult *result)
 {
     if (strlen(text_or_empty(begin->attempt)) != LEDGER_ATTEMPT_LENGTH) {
         ledger_fail(result, RESULT_INVALID, "the attempt id is malformed");
@@ -262,7 +264,7 @@
         if (program == NULL) {
             return;
         }
-        program->single = true;
+        program->single_call = true;
     }
     if (program == NULL) {
         ledger_fail(result, RESULT_NOT_FOUND, "no such program");
@@ -274,26 +276,26 @@
     }
     if (!ledger_is_owned_here(program)) {
         ledger_fail(result, RESULT_NOT_OWNER, "another site owns the program");
-        result->owner = program->owner;
+        result->owner = program->handover_site;
         return;
     }
-    ledger_leave_lost_call(ledger, program, owner_expired, begin);
-    struct ledger_call *known = ledger_call_by_key(program, begin->idempotency_key);
-    if (known != NULL && begin->call != 0 && known->number != begin->call) {
+    ledger_abandon_lost_call(ledger, program, owner_expired, begin);
+    struct ledger_call *existing = ledger_find_call_by_key(program, begin->idempotency_key);
+    if (existing != NULL && begin->call != 0 && existing->number != begin->call) {
         ledger_fail(result, RESULT_CONFLICT, "the idempotency key was used for another call number");
         return;
     }
     uint32_t number = begin->call;
-    if (known == NULL && number != 0) {
-        known = ledger_call_by_number(program, number);
+    if (existing == NULL && number != 0) {
+        existing = ledger_find_call_by_number(program, number);
     }
-    if (known == NULL && number == 0) {
-        known = ledger_running_call(program);
+    if (existing == NULL && number == 0) {
+        existing = ledger_running_call(program);
     }
     if (text_equal(program->aborted_attempt, begin->attempt)) {
         ledger_fail(result, RESULT_STALE_ATTEMPT, "the attempt was aborted before it began");
-    } else if (known != NULL) {
-        ledger_begin_known(ledger, program, known, owner_expired, begin, result);
+    } else if (existing != NULL) {
+        ledger_begin_existing(ledger, program, existing, owner_expired, begin, result);
     } else if (program->state == LEDGER_PROGRAM_ENDED) {
         ledger_fail(result, RESULT_ENDED, "the program has ended");
     } else if (number != 0 && number != program->next_call) {
@@ -305,8 +307,8 @@
         ledger_begin_new(ledger, program, begin, result);
     }
     ledger_touch(ledger, program);
-    /* A refused program of one leaves nothing behind. */
-    if (program->single && program->call_count == 0) {
+    /* A single-call program whose call was refused is not kept. */
+    if (program->single_call && program->call_count == 0) {
         ledger_remove(ledger, program);
         result->engine = NULL;
     }
@@ -314,10 +316,10 @@
 
 /* ---- Finish and abort ------------------------------------------------------ */
 
-static struct ledger_call *ledger_attempted_call(struct ledger_program *program, uint32_t number, const char *attempt,
-                                                 EntryResult *result)
+static struct ledger_call *ledger_find_attempt(struct ledger_program *program, uint32_t number, const char *attempt,
+                                               EntryResult *result)
 {
-    struct ledger_call *call = program == NULL ? NULL : ledger_call_by_number(program, number);
+    struct ledger_call *call = program == NULL ? NULL : ledger_find_call_by_number(program, number);
     if (call == NULL) {
         ledger_fail(result, RESULT_NOT_FOUND, "no such call");
         return NULL;
@@ -345,7 +347,7 @@
     call->prompt_tokens = (uint32_t)finish->prompt_tokens;
     call->completion_tokens = (uint32_t)finish->completion_tokens;
     call->cached_tokens = (uint32_t)finish->cached_tokens;
-    call->finish_reason = ledger_reason_keep(finish->finish_reason);
+    call->finish_reason = ledger_reason_intern(finish->finish_reason);
     ledger->history.append(ledger->history.context, view_of_string(finish->answer), &call->answer);
     program->next_call = call->number + 1;
     program->context_tokens = finish->prompt_tokens + finish->completion_tokens;
@@ -354,7 +356,7 @@
     ledger_count_identical(program, call);
 }
 
-/* Ends a program of one with its only call; without a key nobody can ask again. */
+/* Without an idempotency key the call cannot be repeated, so the program is removed at once. */
 static void ledger_end_single(struct ledger *ledger, struct ledger_program *program)
 {
     if (program->call_count == 0 || program->calls[0].idempotency_key == NULL) {
@@ -364,10 +366,10 @@
     program->state = LEDGER_PROGRAM_ENDED;
 }
 
-void ledger_finish(struct ledger *ledger, const CallFinish *finish, EntryResult *result)
+void ledger_finish_call(struct ledger *ledger, const CallFinish *finish, EntryResult *result)
 {
     struct ledger_program *program = ledger_find(ledger, finish->program);
-    struct ledger_call *call = ledger_attempted_call(program, finish->call, finish->attempt, result);
+    struct ledger_call *call = ledger_find_attempt(program, finish->call, finish->attempt, result);
     if (call == NULL) {
         return;
     }
@@ -382,14 +384,14 @@
     ledger_finish_running(ledger, program, call, finish);
     result->finished_s = call->finished_s;
     ledger_touch(ledger, program);
-    if (program->single) {
+    if (program->single_call) {
         ledger_end_single(ledger, program);
         return;
     }
-    ledger_hold_engine(program, finish->engine);
+    ledger_add_engine(program, finish->engine);
 }
 
-static void ledger_forget_last_call(struct ledger *ledger, struct ledger_program *program)
+static void ledger_remove_last_call(struct ledger *ledger, struct ledger_program *program)
 {
     struct ledger_call *call = &program->calls[program->call_count - 1];
     ledger_settle(program, 0);
@@ -397,7 +399,7 @@
     program->call_count--;
 }
 
-/* The abort of an attempt that has not begun here keeps it from beginning late. */
+/* Makes ledger_begin_call() refuse a late begin of an attempt that was aborted before it began. */
 static void ledger_fence_attempt(struct ledger_program *program, const CallAbort *abort_entry)
 {
     if (program != NULL && abort_entry->outcome == ABORT_NOT_RUN) {
@@ -405,16 +407,16 @@
     }
 }
 
-/* Keeps the call for another attempt, as an attempt of it may have run. */
-static void ledger_keep_lost_call(struct ledger_program *program, const CallAbort *abort_entry)
+/* Marks the current attempt as lost and keeps the call, since one of its attempts may have run. */
+static void ledger_keep_for_retry(struct ledger_program *program, const CallAbort *abort_entry)
 {
     if (abort_entry->outcome == ABORT_NOT_RUN) {
         ledger_settle(program, 0);
     }
-    program->running.expires_ms = LEDGER_LOST_MS;
+    program->running.expires_ms = LEDGER_EXPIRES_LOST_MS;
 }
 
-void ledger_abort(struct ledger *ledger, const CallAbort *abort_entry)
+void ledger_abort_call(struct ledger *ledger, const CallAbort *abort_entry)
 {
     struct ledger_program *program = ledger_find(ledger, abort_entry->program);
     struct ledger_call *call = program == NULL ? NULL : ledger_running_call(program);
@@ -423,20 +425,20 @@
         ledger_fence_attempt(program, abort_entry);
         return;
     }
-    bool ran_maybe = abort_entry->outcome == ABORT_UNKNOWN || program->running.after_loss;
-    bool can_be_asked_again = !program->single || call->idempotency_key != NULL;
+    bool may_have_run = abort_entry->outcome == ABORT_UNKNOWN || program->running.after_loss;
+    bool can_be_retried = !program->single_call || call->idempotency_key != NULL;
     ledger_touch(ledger, program);
-    if (ran_maybe && call->repeatable && can_be_asked_again) {
-        ledger_keep_lost_call(program, abort_entry);
+    if (may_have_run && call->repeatable && can_be_retried) {
+        ledger_keep_for_retry(program, abort_entry);
         return;
     }
-    if (ran_maybe) {
+    if (may_have_run) {
         ledger_mark_unknown(program, call);
     } else {
         snprintf(program->aborted_attempt, sizeof(program->aborted_attempt), "%s", call->attempt);
-        ledger_forget_last_call(ledger, program);
+        ledger_remove_last_call(ledger, program);
     }
-    if (program->single) {
+    if (program->single_call) {
         ledger_end_single(ledger, program);
     }
 }
--- a/src/core/ledger_handover.c
+++ b/src/core/ledger_handover.c
@@ -1,8 +1,9 @@
 /*
  * Hand-over of a program from an old site: prepare, import, commit, abort.
- * Each step may be repeated. Until the commit the old site owns the program
- * and every call here is refused; after it the old site's epoch is dead.
- * A newer epoch may start over before the commit, an older one is refused.
+ * Every step is idempotent. Until the commit, the old site owns the program and
+ * calls here are refused; a committed hand-over cannot be aborted. After an
+ * abort, a prepare with a newer epoch starts over; all other steps must have the
+ * epoch of the prepare.
  */
 #include "core/ledger_internal.h"
 
@@ -12,19 +13,19 @@
 static void handover_prepare(struct ledger *ledger, struct ledger_program *program, const HandoverChange *change,
                              EntryResult *result)
 {
-    if (program != NULL && program->state == LEDGER_PROGRAM_ABORTED && change->old_epoch > program->owner_epoch) {
+    if (program != NULL && program->state == LEDGER_PROGRAM_ABORTED && change->old_epoch > program->handover_epoch) {
         ledger_remove(ledger, program);
         program = NULL;
     }
     if (program == NULL) {
         program = ledger_add(ledger, change->program);
         program->state = LEDGER_PROGRAM_PREPARED;
-        program->owner = text_copy(change->old_site);
-        program->owner_epoch = change->old_epoch;
+        program->handover_site = text_copy(change->old_site);
+        program->handover_epoch = change->old_epoch;
         return;
     }
-    bool repeated = program->owner != NULL && change->old_epoch == program->owner_epoch &&
-                    text_equal(program->owner, change->old_site) && program->state != LEDGER_PROGRAM_ABORTED;
+    bool repeated = program->handover_site != NULL && change->old_epoch == program->handover_epoch &&
+                    text_equal(program->handover_site, change->old_site) && program->state != LEDGER_PROGRAM_ABORTED;
     if (!repeated) {
         ledger_fail(result, RESULT_ALREADY_EXISTS, "the program exists here or its hand-over has another epoch");
     }
@@ -54,7 +55,7 @@
     switch (program->state) {
     case LEDGER_PROGRAM_PREPARED: handover_fill(ledger, program, change); return;
     case LEDGER_PROGRAM_ABORTED: ledger_fail(result, RESULT_ABORTED, "the hand-over was aborted"); return;
-    default: return; /* imported or committed before: the first import stands */
+    default: return; /* already imported or committed; the first import wins */
     }
 }
 
@@ -64,7 +65,7 @@
     case LEDGER_PROGRAM_IMPORTED: program->state = LEDGER_PROGRAM_OPEN; return;
     case LEDGER_PROGRAM_PREPARED: ledger_fail(result, RESULT_ABORTED, "nothing was imported yet"); return;
     case LEDGER_PROGRAM_ABORTED: ledger_fail(result, RESULT_ABORTED, "the hand-over was aborted"); return;
-    default: return; /* committed before */
+    default: return; /* already committed */
     }
 }
 
@@ -85,11 +86,11 @@
         handover_prepare(ledger, program, change, result);
         return;
     }
-    if (program == NULL || program->owner == NULL) {
+    if (program == NULL || program->handover_site == NULL) {
         ledger_fail(result, RESULT_NOT_FOUND, "no hand-over of this program was prepared");
         return;
     }
-    if (change->old_epoch != program->owner_epoch || !text_equal(change->old_site, program->owner)) {
+    if (change->old_epoch != program->handover_epoch || !text_equal(change->old_site, program->handover_site)) {
         ledger_fail(result, RESULT_CONFLICT, "the hand-over has another epoch or old site");
         return;
     }
--- a/src/core/ledger_snapshot.c
+++ b/src/core/ledger_snapshot.c
@@ -1,18 +1,18 @@
-/* Export and import of a partition's state. */
+/* Export and import of the state of a partition. */
 #include "core/ledger_internal.h"
 
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-static char *snapshot_text(const char *text)
+static char *snapshot_copy_text(const char *text)
 {
     return text == NULL || text[0] == '\0' ? NULL : text_copy(text);
 }
 
-/* Puts a stored text into a record: its content, or its place. */
-static void snapshot_put(const struct ledger *ledger, bool with_text, const struct history_ref *ref, char **text,
-                         bool *has_ref, HistoryRef *wire)
+/* Sets either the content of a text or its location in the history store. */
+static void snapshot_export_text(const struct ledger *ledger, bool with_text, const struct history_ref *ref,
+                                 char **text, bool *has_ref, HistoryRef *wire)
 {
     if (ref->length == 0) {
         return;
@@ -30,14 +30,14 @@
     }
 }
 
-static void snapshot_get(struct ledger *ledger, const char *text, bool has_ref, const HistoryRef *wire,
-                         struct history_ref *ref)
+static void snapshot_import_text(struct ledger *ledger, const char *text, bool has_ref, const HistoryRef *wire,
+                                 struct history_ref *ref)
 {
     if (has_ref) {
         ref->segment = wire->segment;
         ref->offset = wire->offset;
         ref->length = wire->length;
-        ledger->history.keep(ledger->history.context, ref);
+        ledger->history.mark_used(ledger->history.context, ref);
         return;
     }
     if (text != NULL) {
@@ -76,11 +76,12 @@
     record->completion_tokens = call->completion_tokens;
     record->cached_tokens = call->cached_tokens;
     record->finished_s = call->finished_s;
-    record->idempotency_key = snapshot_text(call->idempotency_key);
-    record->finish_reason = snapshot_text(call->finish_reason);
-    snapshot_put(ledger, with_text, &call->messages, &record->messages, &record->has_messages_ref,
-                 &record->messages_ref);
-    snapshot_put(ledger, with_text, &call->answer, &record->answer, &record->has_answer_ref, &record->answer_ref);
+    record->idempotency_key = snapshot_copy_text(call->idempotency_key);
+    record->finish_reason = snapshot_copy_text(call->finish_reason);
+    snapshot_export_text(ledger, with_text, &call->messages, &record->messages, &record->has_messages_ref,
+                         &record->messages_ref);
+    snapshot_export_text(ledger, with_text, &call->answer, &record->answer, &record->has_answer_ref,
+                         &record->answer_ref);
 }
 
 static void export_program(const struct ledger *ledger, bool with_text, const struct ledger_program *program,
@@ -88,9 +89,9 @@
 {
     record->has_create = true;
     record->create.id = text_copy(program->id);
-    record->create.tenant = snapshot_text(program->tenant);
-    record->create.policy = snapshot_text(program->policy);
-    record->create.parent = snapshot_text(program->parent);
+    record->create.tenant = snapshot_copy_text(program->tenant);
+    record->create.policy = snapshot_copy_text(program->policy);
+    record->create.parent = snapshot_copy_text(program->parent);
     record->create.budget_tokens = program->budget;
     record->create.deadline_ms = program->deadline_ms;
     record->create.max_turns = program->max_turns;
@@ -101,16 +102,16 @@
     record->context_tokens = program->context_tokens;
     record->last_active_ms = program->last_active_ms;
     record->state = program->state;
-    record->engine = snapshot_text(program->engine);
-    record->owner = snapshot_text(program->owner);
-    record->owner_epoch = program->owner_epoch;
-    record->single = program->single;
+    record->engine = snapshot_copy_text(program->engine);
+    record->owner = snapshot_copy_text(program->handover_site);
+    record->owner_epoch = program->handover_epoch;
+    record->single = program->single_call;
     record->first_call = program->first_call;
     record->next_call = program->next_call;
     record->identical_calls = program->identical_calls;
-    record->aborted_attempt = snapshot_text(program->aborted_attempt);
-    snapshot_put(ledger, with_text, &program->imported, &record->imported_history, &record->has_imported_ref,
-                 &record->imported_ref);
+    record->aborted_attempt = snapshot_copy_text(program->aborted_attempt);
+    snapshot_export_text(ledger, with_text, &program->imported, &record->imported_history, &record->has_imported_ref,
+                         &record->imported_ref);
     record->calls_count = (pb_size_t)program->call_count;
     record->calls = memory_new(program->call_count * sizeof(*record->calls));
     for (uint32_t i = 0; i < program->call_count; i++) {
@@ -153,10 +154,10 @@
     call->completion_tokens = (uint32_t)record->completion_tokens;
     call->cached_tokens = (uint32_t)record->cached_tokens;
     call->finished_s = record->finished_s;
-    call->idempotency_key = snapshot_text(record->idempotency_key);
-    call->finish_reason = ledger_reason_keep(record->finish_reason);
-    snapshot_get(ledger, record->messages, record->has_messages_ref, &record->messages_ref, &call->messages);
-    snapshot_get(ledger, record->answer, record->has_answer_ref, &record->answer_ref, &call->answer);
+    call->idempotency_key = snapshot_copy_text(record->idempotency_key);
+    call->finish_reason = ledger_reason_intern(record->finish_reason);
+    snapshot_import_text(ledger, record->messages, record->has_messages_ref, &record->messages_ref, &call->messages);
+    snapshot_import_text(ledger, record->answer, record->has_answer_ref, &record->answer_ref, &call->answer);
 }
 
 static void import_program(struct ledger *ledger, const ProgramRecord *record)
@@ -164,7 +165,7 @@
     struct ledger_program *program = ledger_add(ledger, text_or_empty(record->create.id));
     program->tenant = text_copy(record->create.tenant);
     program->policy = text_copy(record->create.policy);
-    program->parent = snapshot_text(record->create.parent);
+    program->parent = snapshot_copy_text(record->create.parent);
     program->budget = record->create.budget_tokens;
     program->deadline_ms = record->create.deadline_ms;
     program->max_turns = record->create.max_turns;
@@ -175,15 +176,16 @@
     program->context_tokens = record->context_tokens;
     program->last_active_ms = record->last_active_ms;
     program->state = (enum ledger_program_state)record->state;
-    program->engine = snapshot_text(record->engine);
-    program->owner = snapshot_text(record->owner);
-    program->owner_epoch = record->owner_epoch;
-    program->single = record->single;
+    program->engine = snapshot_copy_text(record->engine);
+    program->handover_site = snapshot_copy_text(record->owner);
+    program->handover_epoch = record->owner_epoch;
+    program->single_call = record->single;
     program->first_call = record->first_call;
     program->next_call = record->next_call;
     program->identical_calls = record->identical_calls;
     snprintf(program->aborted_attempt, sizeof(program->aborted_attempt), "%s", text_or_empty(record->aborted_attempt));
-    snapshot_get(ledger, record->imported_history, record->has_imported_ref, &record->imported_ref, &program->imported);
+    snapshot_import_text(ledger, record->imported_history, record->has_imported_ref, &record->imported_ref,
+                         &program->imported);
     program->call_count = record->calls_count;
     program->calls = memory_new(record->calls_count * sizeof(*program->calls));
     for (pb_size_t i = 0; i < record->calls_count; i++) {
@@ -193,7 +195,7 @@
         }
     }
     for (pb_size_t i = 0; i < record->held_engines_count; i++) {
-        ledger_hold_engine(program, record->held_engines[i]);
+        ledger_add_engine(program, record->held_engines[i]);
     }
 }
 
--- a/src/core/memory_budget.c
+++ b/src/core/memory_budget.c
@@ -10,12 +10,12 @@
     memory_budget_t budget = {
         .total = total,
         .log = memory_share(total, MEMORY_BUDGET_LOG_PERCENT),
-        .log_most = memory_share(total, MEMORY_BUDGET_LOG_MOST_PERCENT),
+        .log_max = memory_share(total, MEMORY_BUDGET_LOG_MAX_PERCENT),
         .state = memory_share(total, MEMORY_BUDGET_STATE_PERCENT),
         .queues = memory_share(total, MEMORY_BUDGET_QUEUES_PERCENT),
         .cache = memory_share(total, MEMORY_BUDGET_CACHE_PERCENT),
         .requests = memory_share(total, MEMORY_BUDGET_REQUESTS_PERCENT),
-        .arriving = memory_share(total, MEMORY_BUDGET_ARRIVING_PERCENT),
+        .incoming = memory_share(total, MEMORY_BUDGET_INCOMING_PERCENT),
     };
     return budget;
 }
--- a/src/core/memory_budget.h
+++ b/src/core/memory_budget.h
@@ -1,24 +1,24 @@
 /**
  * @file memory_budget.h
- * Shares of a process's memory. Whoever holds bytes takes its bound from
- * here, so that the sum of all bounds stays below what the process may use.
+ * Divides the memory of a process among the components that buffer data, so that
+ * the sum of their limits stays below it. Figures: docs/CAPACITY.md.
  *
- * docs/CAPACITY.md has the figures. A state replica's shares:
+ * Shares of a state replica:
  *
- *   log        entries in memory; a snapshot is due above it
- *   log_most   entries in memory; above it no entry is taken
- *   state      index of turns and budgets; above it no turn begins
- *   queues     frames that peers have not taken yet, all together
- *   (rest)     program, libraries, chunks of snapshots, one request's texts, allocator
+ *   log        log entries in memory; a snapshot is due above this
+ *   log_max    log entries in memory; no entries are accepted above this
+ *   state      index of turns and budgets; no turns are started above this
+ *   queues     unsent frames, all peers together
+ *   (rest)     program, libraries, snapshot chunks, texts of one request, allocator
  *
- * While the disk takes nothing, what came since waits in two more copies, for
- * the log and for the texts: each is at most log_most less half of log.
+ * While the disk accepts no writes, new entries are also queued in memory twice,
+ * for the log and for the texts, each up to log_max - log / 2.
  *
- * A gateway's:
+ * Shares of a gateway:
  *
- *   cache      turns kept near
- *   requests   texts of requests under way; above it a request is refused at once
- *   arriving   bodies that are being read, by the length that they told
+ *   cache      cached turns
+ *   requests   texts of in-flight requests; requests are refused immediately above this
+ *   incoming   request bodies being received, counted by their declared length
  *   queues     as above
  *   (rest)     program, libraries, connections, allocator
  */
@@ -28,28 +28,28 @@
 #include <stddef.h>
 
 enum {
-    MEMORY_BUDGET_LOG_PERCENT = 15,      /**< Share `log`. */
-    MEMORY_BUDGET_LOG_MOST_PERCENT = 22, /**< Share `log_most`; the share `log` lies inside it. */
-    MEMORY_BUDGET_STATE_PERCENT = 35,    /**< Share `state`. */
-    MEMORY_BUDGET_QUEUES_PERCENT = 10,   /**< Share `queues`. */
-    MEMORY_BUDGET_CACHE_PERCENT = 15,    /**< Share `cache`. */
-    MEMORY_BUDGET_REQUESTS_PERCENT = 25, /**< Share `requests`. */
-    MEMORY_BUDGET_ARRIVING_PERCENT = 15  /**< Share `arriving`. */
+    MEMORY_BUDGET_LOG_PERCENT = 15,
+    MEMORY_BUDGET_LOG_MAX_PERCENT = 22, /**< Includes the share `log`. */
+    MEMORY_BUDGET_STATE_PERCENT = 35,
+    MEMORY_BUDGET_QUEUES_PERCENT = 10,
+    MEMORY_BUDGET_CACHE_PERCENT = 15,
+    MEMORY_BUDGET_REQUESTS_PERCENT = 25,
+    MEMORY_BUDGET_INCOMING_PERCENT = 15
 };
 
-/** The shares, in bytes. */
+/** In bytes; the shares are described above. */
 typedef struct memory_budget_t {
-    size_t total;    /**< What the process may use. */
-    size_t log;      /**< See above. */
-    size_t log_most; /**< See above. */
-    size_t state;    /**< See above. */
-    size_t queues;   /**< See above. */
-    size_t cache;    /**< See above. */
-    size_t requests; /**< See above. */
-    size_t arriving; /**< See above. */
+    size_t total; /**< Memory that the process may use. */
+    size_t log;
+    size_t log_max;
+    size_t state;
+    size_t queues;
+    size_t cache;
+    size_t requests;
+    size_t incoming;
 } memory_budget_t;
 
-/** Shares of `total` bytes; 0: all are 0, which their holders read as their own defaults. */
+/** If `total` is 0, all shares are 0 and the components use their own defaults. */
 memory_budget_t memory_budget_of(size_t total);
 
 #endif
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -6,23 +6,22 @@
 
 enum { PLACEMENT_DEFAULT_SLOTS = 32 };
 
-static const double PLACEMENT_DEFAULT_PREFILL = 20.0; /* tokens a ms, before anything was measured */
+static const double PLACEMENT_DEFAULT_PREFILL_TOKENS_PER_MS = 20.0;
 
-/* Weighted rendezvous: the highest of -weight / ln(uniform(0, 1)) wins. */
+/* Weighted rendezvous hashing: the candidate with the highest -weight / ln(uniform(0, 1)) wins. */
 static double placement_rank(const struct placement_candidate *candidate, uint64_t program_hash)
 {
-    uint64_t material[2] = {candidate->name_hash, program_hash};
-    uint64_t hash = XXH64(material, sizeof(material), 0);
+    uint64_t key[2] = {candidate->name_hash, program_hash};
+    uint64_t hash = XXH64(key, sizeof(key), 0);
     double uniform = ((double)(hash >> 11) + 0.5) / 9007199254740992.0;
     double weight = candidate->weight == 0 ? 1.0 : (double)candidate->weight;
     return -weight / log(uniform);
 }
 
-/* Calls there now: the lagged report, corrected by what this daemon has
- * started and finished since. */
+/* The last report, corrected by the calls that this daemon has started and finished since. */
 static double placement_calls(const struct placement_candidate *candidate)
 {
-    double others = (double)candidate->reported_calls - (double)candidate->own_calls_then;
+    double others = (double)candidate->reported_calls - (double)candidate->own_calls_at_report;
     return (others > 0 ? others : 0) + (double)candidate->own_calls;
 }
 
@@ -35,14 +34,15 @@
 
 static double placement_cost_ms(const struct placement_candidate *candidate, uint64_t prompt_tokens)
 {
-    double rate = candidate->prefill_tokens_per_ms > 0 ? candidate->prefill_tokens_per_ms : PLACEMENT_DEFAULT_PREFILL;
-    uint64_t missing = prompt_tokens > candidate->cached_tokens ? prompt_tokens - candidate->cached_tokens : 0;
-    double cost = placement_wait_ms(candidate) + (double)missing / rate;
+    double rate = candidate->prefill_tokens_per_ms > 0 ? candidate->prefill_tokens_per_ms
+                                                       : PLACEMENT_DEFAULT_PREFILL_TOKENS_PER_MS;
+    uint64_t uncached = prompt_tokens > candidate->cached_tokens ? prompt_tokens - candidate->cached_tokens : 0;
+    double cost = placement_wait_ms(candidate) + (double)uncached / rate;
     return candidate->same_zone ? cost : cost + PLACEMENT_REMOTE_ZONE_MS;
 }
 
-static int placement_first(const struct placement_call *call, const struct placement_candidate *candidates,
-                           size_t count)
+static int placement_by_hash(const struct placement_call *call, const struct placement_candidate *candidates,
+                             size_t count)
 {
     int best = PLACEMENT_NONE;
     double best_rank = 0;
@@ -79,17 +79,17 @@
     return best;
 }
 
-/* The engine that holds the program's prefix, else the first in the order. */
+/* The engine that has cached most of the prefix, or else the first by rendezvous hashing. */
 static int placement_home(const struct placement_call *call, const struct placement_candidate *candidates, size_t count)
 {
     int best = PLACEMENT_NONE;
     for (size_t i = 0; i < count; i++) {
-        bool holds = candidates[i].usable && candidates[i].cached_tokens > 0;
-        if (holds && (best == PLACEMENT_NONE || candidates[i].cached_tokens > candidates[best].cached_tokens)) {
+        bool has_prefix = candidates[i].usable && candidates[i].cached_tokens > 0;
+        if (has_prefix && (best == PLACEMENT_NONE || candidates[i].cached_tokens > candidates[best].cached_tokens)) {
             best = (int)i;
         }
     }
-    return best == PLACEMENT_NONE ? placement_first(call, candidates, count) : best;
+    return best == PLACEMENT_NONE ? placement_by_hash(call, candidates, count) : best;
 }
 
 static int placement_affinity(const struct placement_call *call, const struct placement_candidate *candidates,
@@ -120,7 +120,7 @@
     switch (call->mode) {
     case PLACEMENT_MODE_ROUND_ROBIN: return placement_round_robin(call, candidates, count);
     case PLACEMENT_MODE_LEAST_LOADED: return placement_least_loaded(candidates, count);
-    case PLACEMENT_MODE_STICKY: return placement_first(call, candidates, count);
+    case PLACEMENT_MODE_STICKY: return placement_by_hash(call, candidates, count);
     default: return placement_affinity(call, candidates, count);
     }
 }
--- a/src/core/placement.h
+++ b/src/core/placement.h
@@ -1,17 +1,13 @@
 /**
  * @file placement.h
- * Chooses the engine of a call. Pure: the caller describes the candidates.
+ * Chooses the engine of a call by load and prefix cache affinity. Pure functions.
  *
- * Cache affinity: every daemon orders the engines of a pool by weighted
- * rendezvous hashing of the program, so that all agree without talking. The
- * cost of an engine is its expected wait plus the time to compute the part of
- * the prompt that it does not hold. A program's home is the engine that holds
- * its prefix, else the first in the order; it is left only when another one is
- * cheaper by more than PLACEMENT_LEAVE_MARGIN_MS, and the other one is the home
- * from then on.
- *
- * Source: Thaler and Ravishankar, "Using Name-Based Mappings to Increase Hit
- * Rates" (1998), for rendezvous hashing.
+ * The home of a program is the engine that has cached its prefix, or else the
+ * first by weighted rendezvous hashing (Thaler and Ravishankar, "Using Name-Based
+ * Mappings to Increase Hit Rates", 1998), on which all daemons agree without
+ * coordination. The cost of an engine is its expected wait plus the time to
+ * compute the uncached part of the prompt. Another engine is chosen only if it is
+ * cheaper by more than PLACEMENT_LEAVE_MARGIN_MS; it then becomes the home.
  */
 #ifndef BANKBANK_CORE_PLACEMENT_H
 #define BANKBANK_CORE_PLACEMENT_H
@@ -21,12 +17,12 @@
 #include <stdint.h>
 
 enum {
-    PLACEMENT_LEAVE_MARGIN_MS = 20, /**< Advantage that justifies leaving the home. */
-    PLACEMENT_REMOTE_ZONE_MS = 2,   /**< Cost of an engine in another zone. */
+    PLACEMENT_LEAVE_MARGIN_MS = 20, /**< Minimum cost advantage for leaving the home. */
+    PLACEMENT_REMOTE_ZONE_MS = 2,   /**< Additional cost of an engine in another zone. */
     PLACEMENT_NONE = -1             /**< No usable engine. */
 };
 
-/** Baselines besides cache affinity, kept for comparison. */
+/** All but cache affinity are baselines for comparison. */
 enum placement_mode {
     PLACEMENT_MODE_AFFINITY,
     PLACEMENT_MODE_ROUND_ROBIN,
@@ -34,33 +30,31 @@
     PLACEMENT_MODE_STICKY
 };
 
-/** One engine as seen by the caller. */
 struct placement_candidate {
-    uint64_t name_hash;           /**< Hash of its name. */
-    uint32_t weight;              /**< Relative share; 0 counts as 1. */
-    bool usable;                  /**< Not draining, ejected or tried before. */
-    bool same_zone;               /**< Stands in the caller's zone. */
-    uint32_t own_calls;           /**< Calls in flight from this daemon. */
-    uint32_t reported_calls;      /**< Calls running or waiting there by its last report. */
-    uint32_t own_calls_then;      /**< Calls of this daemon that the report contains. */
-    uint32_t slots;               /**< Calls it serves at once; 0: unknown. */
-    double mean_call_ms;          /**< Mean time of a call there. */
-    double prefill_tokens_per_ms; /**< Prompt tokens computed a millisecond. */
-    uint64_t cached_tokens;       /**< Tokens of this program's prompt it holds. */
+    uint64_t name_hash;           /**< For rendezvous hashing. */
+    uint32_t weight;              /**< Relative weight; 0 counts as 1. */
+    bool usable;                  /**< Not draining, ejected or already tried. */
+    bool same_zone;               /**< As the caller. */
+    uint32_t own_calls;           /**< In-flight calls of this daemon. */
+    uint32_t reported_calls;      /**< Running and queued calls in its last report. */
+    uint32_t own_calls_at_report; /**< Calls of this daemon included in the report. */
+    uint32_t slots;               /**< Calls it serves concurrently; 0: unknown. */
+    double mean_call_ms;
+    double prefill_tokens_per_ms; /**< 0: unknown. */
+    uint64_t cached_tokens;       /**< Of this call's prompt. */
 };
 
-/** A call to place. */
 struct placement_call {
-    enum placement_mode mode; /**< How to choose. */
-    uint64_t program_hash;    /**< Hash of the program's root id. */
-    uint64_t prompt_tokens;   /**< Tokens of the whole prompt. */
-    uint64_t rotation;        /**< Counter, for round robin. */
+    enum placement_mode mode;
+    uint64_t program_hash;  /**< Hash of the program's root id. */
+    uint64_t prompt_tokens; /**< Whole prompt. */
+    uint64_t rotation;      /**< Counter for round robin. */
 };
 
-/** Expected wait at a candidate before the call starts, in ms. */
+/** Expected wait before a call starts there. */
 double placement_wait_ms(const struct placement_candidate *candidate);
 
-/** Returns the position of the engine to use, or PLACEMENT_NONE. */
+/** Returns the index of a candidate, or PLACEMENT_NONE. */
 int placement_choose(const struct placement_call *call, const struct placement_candidate *candidates, size_t count);
 
 #endif
--- a/src/core/prefix_table.c
+++ b/src/core/prefix_table.c
@@ -7,11 +7,11 @@
     if (chain->count == PREFIX_MAX_PARTS) {
         return;
     }
-    uint64_t before = chain->count == 0 ? 0 : chain->hashes[chain->count - 1];
-    uint32_t read = chain->count == 0 ? 0 : chain->tokens[chain->count - 1];
-    uint64_t hash = XXH64(id.data, id.length, before);
+    uint64_t parent = chain->count == 0 ? 0 : chain->hashes[chain->count - 1];
+    uint32_t preceding = chain->count == 0 ? 0 : chain->tokens[chain->count - 1];
+    uint64_t hash = XXH64(id.data, id.length, parent);
     chain->hashes[chain->count] = hash == 0 ? 1 : hash;
-    chain->tokens[chain->count] = read + tokens;
+    chain->tokens[chain->count] = preceding + tokens;
     chain->count++;
 }
 
@@ -24,8 +24,8 @@
     return i;
 }
 
-/* A free place, or that of the chain unused for longest. */
-static uint32_t prefix_oldest(const prefix_table_t *table)
+/* An unused entry, or the least recently used one. */
+static uint32_t prefix_least_recent(const prefix_table_t *table)
 {
     uint32_t oldest = 0;
     for (uint32_t i = 1; i < PREFIX_ENTRIES; i++) {
@@ -36,44 +36,44 @@
     return oldest;
 }
 
-void prefix_table_note(prefix_table_t *table, uint64_t now_ms, const prefix_chain_t *chain)
+void prefix_table_record(prefix_table_t *table, uint64_t now_ms, const prefix_chain_t *chain)
 {
     for (uint32_t i = 0; i < chain->count; i++) {
-        uint32_t place = prefix_find(table, chain->hashes[i]);
-        place = place < PREFIX_ENTRIES ? place : prefix_oldest(table);
-        table->hashes[place] = chain->hashes[i];
-        table->used_ms[place] = now_ms;
+        uint32_t slot = prefix_find(table, chain->hashes[i]);
+        slot = slot < PREFIX_ENTRIES ? slot : prefix_least_recent(table);
+        table->hashes[slot] = chain->hashes[i];
+        table->used_ms[slot] = now_ms;
     }
 }
 
-static bool prefix_is_kept(const prefix_table_t *table, uint64_t now_ms, uint64_t hash)
+static bool prefix_is_cached(const prefix_table_t *table, uint64_t now_ms, uint64_t hash)
 {
-    uint32_t place = prefix_find(table, hash);
-    return place < PREFIX_ENTRIES && now_ms < table->used_ms[place] + PREFIX_VALID_MS;
+    uint32_t slot = prefix_find(table, hash);
+    return slot < PREFIX_ENTRIES && now_ms < table->used_ms[slot] + PREFIX_VALID_MS;
 }
 
-uint32_t prefix_table_missing(const prefix_table_t *table, uint64_t now_ms, const prefix_chain_t *chain)
+uint32_t prefix_table_uncached_tokens(const prefix_table_t *table, uint64_t now_ms, const prefix_chain_t *chain)
 {
-    uint32_t kept = 0;
+    uint32_t cached = 0;
     uint32_t i = 0;
-    while (i < chain->count && prefix_is_kept(table, now_ms, chain->hashes[i])) {
-        kept = chain->tokens[i];
+    while (i < chain->count && prefix_is_cached(table, now_ms, chain->hashes[i])) {
+        cached = chain->tokens[i];
         i++;
     }
-    return chain->count == 0 ? 0 : chain->tokens[chain->count - 1] - kept;
+    return chain->count == 0 ? 0 : chain->tokens[chain->count - 1] - cached;
 }
 
-void prefix_cost_note(prefix_cost_t *cost, uint64_t own_tokens, uint64_t made_tokens)
+void prefix_cost_record(prefix_cost_t *cost, uint64_t unshared_tokens, uint64_t output_tokens)
 {
-    int64_t sample = (int64_t)(own_tokens + PREFIX_MADE_WEIGHT * made_tokens);
+    int64_t sample = (int64_t)(unshared_tokens + PREFIX_OUTPUT_WEIGHT * output_tokens);
     if (cost->tokens == 0) {
         cost->tokens = (uint64_t)sample;
         return;
     }
-    cost->tokens = (uint64_t)((int64_t)cost->tokens + (sample - (int64_t)cost->tokens) / PREFIX_AVERAGE_SHARE);
+    cost->tokens = (uint64_t)((int64_t)cost->tokens + (sample - (int64_t)cost->tokens) / PREFIX_AVERAGE_DIVISOR);
 }
 
-uint64_t prefix_cost_calls(const prefix_cost_t *cost, uint64_t tokens, uint64_t one)
+uint64_t prefix_cost_in_calls(const prefix_cost_t *cost, uint64_t tokens, uint64_t scale)
 {
-    return cost->tokens == 0 ? 0 : tokens * one / cost->tokens;
+    return cost->tokens == 0 ? 0 : tokens * scale / cost->tokens;
 }
--- a/src/core/prefix_table.h
+++ b/src/core/prefix_table.h
@@ -1,14 +1,11 @@
 /**
  * @file prefix_table.h
- * Which prompt parts a server likely keeps. Pure.
+ * Estimates which shared prompt prefixes a server has cached, from the prompts
+ * that this gateway has sent to it. No I/O; callers pass the time.
  *
- * Prompts begin with parts that many requests share. A server that has read
- * them keeps them for a while, and reads only what follows. A gateway knows what
- * it has sent where; so that many gateways begin with the same server without
- * talking, each chain of parts has one server, by rendezvous hashing, that is
- * taken to keep it. What a server would have to read anew is weighed in calls:
- * by the tokens that a call of this kind costs a server on average, where a
- * token made counts as ten that are read.
+ * A prefix is a chain of parts. Uncached tokens are converted to a number of
+ * requests by the average cost of a request, in which an output token counts as
+ * PREFIX_OUTPUT_WEIGHT input tokens.
  */
 #ifndef BANKBANK_CORE_PREFIX_TABLE_H
 #define BANKBANK_CORE_PREFIX_TABLE_H
@@ -19,44 +16,45 @@
 #include "base/view.h"
 
 enum {
-    PREFIX_MAX_PARTS = 8,     /**< Shared parts of a prompt that are looked at. */
-    PREFIX_ENTRIES = 64,      /**< Chains remembered of each server. */
-    PREFIX_VALID_MS = 30000,  /**< Time after its last use for which a chain is taken to be kept. */
-    PREFIX_MADE_WEIGHT = 10,  /**< Tokens read that a token made counts as. */
-    PREFIX_AVERAGE_SHARE = 64 /**< A call moves the average cost by one part in so many. */
+    PREFIX_MAX_PARTS = 8,       /**< Of a prompt; further parts are ignored. */
+    PREFIX_ENTRIES = 64,        /**< Chains per server. */
+    PREFIX_VALID_MS = 30000,    /**< Time after its last use for which a chain is assumed to be cached. */
+    PREFIX_OUTPUT_WEIGHT = 10,  /**< Input tokens that cost as much as an output token. */
+    PREFIX_AVERAGE_DIVISOR = 64 /**< The weight of a new request in the average cost is 1 / this. */
 };
 
-/** The shared parts of one prompt, in order: hashes of the chain up to each part, and tokens up to there. */
+/** The shared parts of one prompt, in order. */
 typedef struct prefix_chain_t {
-    uint32_t count;                    /**< Parts. */
-    uint64_t hashes[PREFIX_MAX_PARTS]; /**< Hash of the part and all before it. */
-    uint32_t tokens[PREFIX_MAX_PARTS]; /**< Tokens up to its end. */
+    uint32_t count;
+    uint64_t hashes[PREFIX_MAX_PARTS]; /**< Hash of the part and all preceding ones; never 0. */
+    uint32_t tokens[PREFIX_MAX_PARTS]; /**< Tokens up to the end of the part. */
 } prefix_chain_t;
 
-/** Chains that one server keeps; all zero: none. */
+/** Chains cached by one server. */
 typedef struct prefix_table_t {
-    uint64_t hashes[PREFIX_ENTRIES];  /**< Chain, or 0: free. */
-    uint64_t used_ms[PREFIX_ENTRIES]; /**< Time of its last use. */
+    uint64_t hashes[PREFIX_ENTRIES];  /**< Hash of the chain; 0: unused entry. */
+    uint64_t used_ms[PREFIX_ENTRIES]; /**< Last use. */
 } prefix_table_t;
 
-/** Average cost of a call, in tokens; all zero: nothing is known. */
+/** Average cost of a request; all zero: unknown. */
 typedef struct prefix_cost_t {
-    uint64_t tokens; /**< Moving average. */
+    uint64_t tokens; /**< Moving average, in input tokens. */
 } prefix_cost_t;
 
-/** Adds a part to a chain. */
 void prefix_chain_add(prefix_chain_t *chain, struct view id, uint32_t tokens);
 
-/** Notes that a prompt with this chain was sent to the server. */
-void prefix_table_note(prefix_table_t *table, uint64_t now_ms, const prefix_chain_t *chain);
+/** Records that a prompt with this chain was sent to the server. */
+void prefix_table_record(prefix_table_t *table, uint64_t now_ms, const prefix_chain_t *chain);
 
-/** Tokens of the chain that the server has to read anew. */
-uint32_t prefix_table_missing(const prefix_table_t *table, uint64_t now_ms, const prefix_chain_t *chain);
+uint32_t prefix_table_uncached_tokens(const prefix_table_t *table, uint64_t now_ms, const prefix_chain_t *chain);
 
-/** Notes what a call costs: the tokens of its prompt that no other shares, and those it may make. */
-void prefix_cost_note(prefix_cost_t *cost, uint64_t own_tokens, uint64_t made_tokens);
+/**
+ * Records the cost of a request: its prompt tokens outside the shared parts, and its output tokens or, if these are
+ * unknown, their maximum.
+ */
+void prefix_cost_record(prefix_cost_t *cost, uint64_t unshared_tokens, uint64_t output_tokens);
 
-/** Tokens as calls, in a scale of `one`. */
-uint64_t prefix_cost_calls(const prefix_cost_t *cost, uint64_t tokens, uint64_t one);
+/** Converts tokens to requests, in units of 1 / `scale`; 0 if the average cost is unknown. */
+uint64_t prefix_cost_in_calls(const prefix_cost_t *cost, uint64_t tokens, uint64_t scale);
 
 #endif
--- a/src/core/presence.c
+++ b/src/core/presence.c
@@ -4,19 +4,19 @@
 
 #include "base/buffer.h"
 
-static void presence_forget(presence_t *presence, presence_gateway_t *gateway)
+static void presence_remove(presence_t *presence, presence_gateway_t *gateway)
 {
     HASH_DEL(presence->gateways, gateway);
     free(gateway);
 }
 
-void presence_hear(presence_t *presence, uint64_t now_ms, const LoadReport *report)
+void presence_record_report(presence_t *presence, uint64_t now_ms, const LoadReport *report)
 {
     presence_gateway_t *gateway = NULL;
     HASH_FIND(hh, presence->gateways, &report->machine, sizeof(report->machine), gateway);
     if (report->leaving) {
         if (gateway != NULL) {
-            presence_forget(presence, gateway);
+            presence_remove(presence, gateway);
         }
         return;
     }
@@ -26,17 +26,17 @@
         HASH_ADD(hh, presence->gateways, machine, sizeof(gateway->machine), gateway);
     }
     gateway->zone = report->zone;
-    gateway->heard_ms = now_ms;
+    gateway->last_report_ms = now_ms;
 }
 
-void presence_fade(presence_t *presence, uint64_t now_ms)
+void presence_expire(presence_t *presence, uint64_t now_ms)
 {
     presence_gateway_t *gateway;
     presence_gateway_t *next;
     HASH_ITER(hh, presence->gateways, gateway, next)
     {
-        if (now_ms >= gateway->heard_ms + PRESENCE_FORGET_MS) {
-            presence_forget(presence, gateway);
+        if (now_ms >= gateway->last_report_ms + PRESENCE_EXPIRY_MS) {
+            presence_remove(presence, gateway);
         }
     }
 }
@@ -44,7 +44,7 @@
 void presence_clear(presence_t *presence)
 {
     while (presence->gateways != NULL) {
-        presence_forget(presence, presence->gateways);
+        presence_remove(presence, presence->gateways);
     }
 }
 
@@ -57,7 +57,7 @@
     for (const presence_gateway_t *gateway = presence->gateways; gateway != NULL; gateway = gateway->hh.next) {
         GatewayCount *count = gateway->zone == zone ? &totals->own_zone : &totals->other_zones;
         count->gateways++;
-        count->silent += now_ms >= gateway->heard_ms + PRESENCE_SILENT_MS ? 1 : 0;
+        count->silent += now_ms >= gateway->last_report_ms + PRESENCE_SILENT_MS ? 1 : 0;
     }
 }
 
@@ -68,6 +68,6 @@
 
 bool presence_should_withdraw(const LoadTotals *totals)
 {
-    bool others_serve = totals->other_zones.gateways > 0 && !presence_most_are_silent(&totals->other_zones);
-    return others_serve && presence_most_are_silent(&totals->own_zone);
+    bool others_healthy = totals->other_zones.gateways > 0 && !presence_most_are_silent(&totals->other_zones);
+    return others_healthy && presence_most_are_silent(&totals->own_zone);
 }
--- a/src/core/presence.h
+++ b/src/core/presence.h
@@ -1,16 +1,12 @@
 /**
  * @file presence.h
- * Which gateways were heard of lately, by zone, as the leader of the state
- * replicas sees it.
+ * Liveness of the gateways by zone, kept in memory by the leader of group 0.
  *
- * Whoever spreads callers over gateways may send them to every gateway of a
- * zone once less than half of them answer, the dead ones included, and to other
- * zones only when none answers. The last gateways of such a zone then serve the
- * callers best by withdrawing: by saying that they are not ready, so that all
- * callers go to zones that are sound. presence_should_withdraw() decides it.
- *
- * Soft state: each report renews an entry, a silent one is forgotten after a
- * while, so that a machine that is gone for good counts no longer. Pure.
+ * When less than half of a zone's gateways are healthy, a load balancer may
+ * spread its requests over all gateways of the zone, the failed ones included,
+ * and fail over to other zones only if none is healthy. The healthy ones of such
+ * a zone therefore report themselves as not ready, so that all requests go to
+ * other zones; see presence_should_withdraw().
  */
 #ifndef BANKBANK_CORE_PRESENCE_H
 #define BANKBANK_CORE_PRESENCE_H
@@ -23,37 +19,36 @@
 #include "control.pb.h"
 
 enum {
-    PRESENCE_REPORT_MS = 500,  /**< Period of an idle gateway's reports. */
-    PRESENCE_SILENT_MS = 1000, /**< A gateway not heard of for longer is silent. */
-    PRESENCE_FORGET_MS = 10000 /**< A silent gateway counts for so long; also bounds a withdrawal. */
+    PRESENCE_REPORT_MS = 500,  /**< Report period of an idle gateway. */
+    PRESENCE_SILENT_MS = 1000, /**< Time without a report after which a gateway is silent. */
+    PRESENCE_EXPIRY_MS = 10000 /**< Time without a report after which a gateway is dropped; also bounds a withdrawal. */
 };
 
-/** One gateway. */
 typedef struct presence_gateway_t {
-    uint64_t machine;  /**< Hash of its machine's name: a restarted process is the same gateway. */
-    uint64_t zone;     /**< Hash of its zone's name. */
-    uint64_t heard_ms; /**< Time of its last report. */
-    UT_hash_handle hh; /**< By machine. */
+    uint64_t machine;        /**< Hash of the machine name: a restarted process is the same gateway. */
+    uint64_t zone;           /**< Hash of the zone name. */
+    uint64_t last_report_ms; /**< Time of the last report. */
+    UT_hash_handle hh;
 } presence_gateway_t;
 
-/** All gateways; all zero: none. */
+/** Zero-initialize it. */
 typedef struct presence_t {
-    presence_gateway_t *gateways; /**< By machine. */
+    presence_gateway_t *gateways; /**< Hash table keyed by `machine`. */
 } presence_t;
 
-/** Takes a gateway's report; one that leaves is forgotten at once. */
-void presence_hear(presence_t *presence, uint64_t now_ms, const LoadReport *report);
+/** Records a report; a gateway that is leaving is dropped at once. */
+void presence_record_report(presence_t *presence, uint64_t now_ms, const LoadReport *report);
 
-/** Forgets gateways that have been silent for PRESENCE_FORGET_MS. */
-void presence_fade(presence_t *presence, uint64_t now_ms);
+/** Drops gateways without a report for PRESENCE_EXPIRY_MS. */
+void presence_expire(presence_t *presence, uint64_t now_ms);
 
-/** Forgets all. */
 void presence_clear(presence_t *presence);
 
-/** Counts the gateways of a zone into `totals->own_zone` and all others into `totals->other_zones`. */
+/** Sets `totals->own_zone` to the counts of `zone`, and `totals->other_zones` to those of all others. */
 void presence_count(const presence_t *presence, uint64_t now_ms, uint64_t zone, LoadTotals *totals);
 
-/** Whether a gateway that is told these counts should leave its callers to other zones. */
+/** Whether a gateway that receives these counts should report itself as not ready: most gateways of its zone are
+ * silent, and at least half of those in other zones are not. */
 bool presence_should_withdraw(const LoadTotals *totals);
 
 #endif
--- a/src/core/raft.c
+++ b/src/core/raft.c
@@ -1,4 +1,4 @@
-/* Lifecycle of a group's replica, time, message dispatch and membership. */
+/* Lifecycle of a replica, ticks, message dispatch and membership. */
 #include "core/raft_internal.h"
 
 #include <string.h>
@@ -48,13 +48,13 @@
     out[length] = '\0';
 }
 
-void raft_member_place_from_wire(const Member *wire, struct raft_member_place *place)
+void raft_member_location_from_wire(const Member *wire, struct raft_member_location *location)
 {
-    memset(place, 0, sizeof(*place));
-    raft_copy_text(place->name, sizeof(place->name), wire->name);
-    raft_copy_text(place->zone, sizeof(place->zone), wire->zone);
-    place->ip = wire->ip;
-    place->port = (uint16_t)wire->port;
+    memset(location, 0, sizeof(*location));
+    raft_copy_text(location->name, sizeof(location->name), wire->name);
+    raft_copy_text(location->zone, sizeof(location->zone), wire->zone);
+    location->ip = wire->ip;
+    location->port = (uint16_t)wire->port;
 }
 
 bool raft_members_from_wire(const Members *wire, struct raft_members *members)
@@ -66,7 +66,7 @@
     for (pb_size_t i = 0; i < wire->members_count; i++) {
         members->nodes[i] = wire->members[i].node;
         members->learners[i] = wire->members[i].learner;
-        raft_member_place_from_wire(&wire->members[i], &members->places[i]);
+        raft_member_location_from_wire(&wire->members[i], &members->locations[i]);
         members->count++;
     }
     return true;
@@ -76,13 +76,13 @@
 {
     memset(items, 0, RAFT_MAX_MEMBERS * sizeof(*items));
     for (uint32_t i = 0; i < members->count; i++) {
-        const struct raft_member_place *place = &members->places[i];
+        const struct raft_member_location *location = &members->locations[i];
         items[i].node = members->nodes[i];
         items[i].learner = members->learners[i];
-        items[i].name = (char *)(uintptr_t)place->name;
-        items[i].zone = (char *)(uintptr_t)place->zone;
-        items[i].ip = place->ip;
-        items[i].port = place->port;
+        items[i].name = (char *)(uintptr_t)location->name;
+        items[i].zone = (char *)(uintptr_t)location->zone;
+        items[i].ip = location->ip;
+        items[i].port = location->port;
     }
     wire->members_count = (pb_size_t)members->count;
     wire->members = items;
@@ -110,7 +110,7 @@
     return entry == NULL ? 0 : entry->term;
 }
 
-bool raft_holds(const struct raft *raft, const struct raft_snapshot *snapshot)
+bool raft_log_matches_snapshot(const struct raft *raft, const struct raft_snapshot *snapshot)
 {
     const struct raft_entry *entry = raft_log_get(&raft->log, snapshot->index);
     return entry != NULL && entry->term == snapshot->term;
@@ -142,7 +142,7 @@
     raft_log_close(&raft->log);
     free(raft->reads);
     for (int i = 0; i < RAFT_MAX_MEMBERS; i++) {
-        buffer_close(&raft->progress[i].snapshot_bytes);
+        buffer_close(&raft->progress[i].snapshot_buffer);
     }
 }
 
@@ -176,7 +176,7 @@
 bool raft_restore_entry(struct raft *raft, const struct raft_entry *entry)
 {
     if (entry->index <= raft->log.base_index) {
-        /* It replaced what was written before it, behind the snapshot too. */
+        /* Writing this entry replaced the tail of the log, so the entries after the snapshot are obsolete too. */
         raft_restore_reset(raft);
         return true;
     }
@@ -186,7 +186,7 @@
     if (entry->index <= raft_last_index(raft)) {
         raft_truncate(raft, entry->index);
     }
-    raft_adopt_entry(raft, entry);
+    raft_append_in_memory(raft, entry);
     raft->synced = raft_last_index(raft);
     return true;
 }
@@ -194,10 +194,10 @@
 void raft_start(struct raft *raft, uint64_t now_ms)
 {
     raft->role = RAFT_FOLLOWER;
-    /* Where a leader lives, voters disregard the early campaign; where all have just started, it saves time. */
-    raft_hurry_election(raft, now_ms);
-    bool alone = raft_voter_count(&raft->members) == 1 && raft_is_voter(&raft->members, raft->config.node);
-    if (alone) {
+    /* Elects a leader soon when all replicas start together; if there is a leader, voters ignore the pre-vote. */
+    raft_reset_short_election_timer(raft, now_ms);
+    bool sole_voter = raft_voter_count(&raft->members) == 1 && raft_is_voter(&raft->members, raft->config.node);
+    if (sole_voter) {
         raft_campaign(raft, now_ms, false, false);
     }
 }
@@ -211,16 +211,16 @@
     if (raft->role != RAFT_LEADER) {
         return;
     }
-    /* Keep what is known of the members that stay, start the new ones afresh. */
+    /* Keep the progress of the remaining members, initialize that of the new ones. */
     struct raft_progress old[RAFT_MAX_MEMBERS];
     memcpy(old, raft->progress, sizeof(old));
     memset(raft->progress, 0, sizeof(raft->progress));
     for (uint32_t i = 0; i < members->count; i++) {
         struct raft_progress *progress = &raft->progress[i];
-        int before = raft_member_position(&raft->previous_members, members->nodes[i]);
-        if (before >= 0) {
-            *progress = old[before];
-            memset(&old[before].snapshot_bytes, 0, sizeof(old[before].snapshot_bytes));
+        int old_position = raft_member_position(&raft->previous_members, members->nodes[i]);
+        if (old_position >= 0) {
+            *progress = old[old_position];
+            memset(&old[old_position].snapshot_buffer, 0, sizeof(old[old_position].snapshot_buffer));
             continue;
         }
         progress->node = members->nodes[i];
@@ -228,11 +228,11 @@
         progress->probing = true;
     }
     for (int i = 0; i < RAFT_MAX_MEMBERS; i++) {
-        buffer_close(&old[i].snapshot_bytes);
+        buffer_close(&old[i].snapshot_buffer);
     }
 }
 
-void raft_adopt_entry(struct raft *raft, const struct raft_entry *entry)
+void raft_append_in_memory(struct raft *raft, const struct raft_entry *entry)
 {
     raft_log_append(&raft->log, entry);
     if (entry->type != RAFT_ENTRY_MEMBERS) {
@@ -265,7 +265,7 @@
         .data = (uint8_t *)(uintptr_t)data.data,
         .length = data.length,
     };
-    raft_adopt_entry(raft, &entry);
+    raft_append_in_memory(raft, &entry);
     raft->io.append(raft->io.context, raft->config.group, &entry);
 }
 
@@ -310,11 +310,11 @@
 
 uint64_t raft_propose_members(struct raft *raft, uint64_t now_ms, const struct raft_members *members)
 {
-    bool settled = raft->role == RAFT_LEADER && raft->transfer_target == RAFT_NO_NODE &&
-                   raft->members_index <= raft->commit && raft_term_at(raft, raft->commit) == raft->term;
-    bool acceptable = members->count > 0 && members->count <= RAFT_MAX_MEMBERS && raft_voter_count(members) > 0 &&
-                      raft_member_difference(&raft->members, members) == 1;
-    if (!settled || !acceptable) {
+    bool may_change = raft->role == RAFT_LEADER && raft->transfer_target == RAFT_NO_NODE &&
+                      raft->members_index <= raft->commit && raft_term_at(raft, raft->commit) == raft->term;
+    bool valid = members->count > 0 && members->count <= RAFT_MAX_MEMBERS && raft_voter_count(members) > 0 &&
+                 raft_member_difference(&raft->members, members) == 1;
+    if (!may_change || !valid) {
         return 0;
     }
     struct buffer encoded = {0};
@@ -337,7 +337,7 @@
     return true;
 }
 
-uint64_t raft_tail_start(const struct raft *raft, uint64_t entries, size_t bytes)
+uint64_t raft_compaction_index(const struct raft *raft, uint64_t entries, size_t bytes)
 {
     uint64_t index = raft->applied;
     size_t kept = 0;
@@ -354,7 +354,7 @@
 
 bool raft_log_is_full(const struct raft *raft)
 {
-    return raft->config.log_bytes_most > 0 && raft->log.bytes >= raft->config.log_bytes_most;
+    return raft->config.max_log_bytes > 0 && raft->log.bytes >= raft->config.max_log_bytes;
 }
 
 static void raft_compact(struct raft *raft, uint64_t index)
@@ -366,41 +366,42 @@
     raft_log_compact(&raft->log, index, raft_term_at(raft, index));
 }
 
-void raft_snapshot_saved(struct raft *raft, uint64_t keep_after)
+void raft_snapshot_saved(struct raft *raft, uint64_t compact_index)
 {
     raft->snapshot.index = raft->applied;
     raft->snapshot.term = raft_term_at(raft, raft->applied);
     raft->snapshot.members = *raft_applied_members(raft);
-    raft_compact(raft, keep_after);
+    raft_compact(raft, compact_index);
 }
 
-/* Whether this process did not run for longer than a heartbeat period: what came meanwhile is not read yet, and a
- * leader has asked nothing that could have been answered. */
-static bool raft_stood_still(struct raft *raft, uint64_t now_ms)
+/* Whether the last tick is more than a heartbeat period ago. Messages that arrived since are unread, and a leader has
+ * sent no heartbeat that peers could have answered. */
+static bool raft_detect_stall(struct raft *raft, uint64_t now_ms)
 {
-    bool still = raft->ticked_ms != 0 && now_ms > raft->ticked_ms + raft->config.heartbeat_ms;
-    raft->ticked_ms = now_ms;
-    return still;
+    bool stalled = raft->last_tick_ms != 0 && now_ms > raft->last_tick_ms + raft->config.heartbeat_ms;
+    raft->last_tick_ms = now_ms;
+    return stalled;
 }
 
-static bool raft_steps_down(struct raft *raft, uint64_t now_ms, bool stood_still)
+/* Check-quorum. After a stall of this process a silent quorum is tolerated, but not again before a quorum responds. */
+static bool raft_has_lost_quorum(struct raft *raft, uint64_t now_ms, bool stalled)
 {
-    if (raft_heard_from_quorum(raft, now_ms)) {
+    if (raft_quorum_is_active(raft, now_ms)) {
         return false;
     }
-    bool excused = stood_still && raft_quorum_spoke_since(raft, raft->excused_ms + 1);
-    raft->excused_ms = excused ? now_ms : raft->excused_ms;
-    return !excused;
+    bool tolerated = stalled && raft_quorum_active_since(raft, raft->stall_grace_ms + 1);
+    raft->stall_grace_ms = tolerated ? now_ms : raft->stall_grace_ms;
+    return !tolerated;
 }
 
-static void raft_tick_leader(struct raft *raft, uint64_t now_ms, bool stood_still)
+static void raft_tick_leader(struct raft *raft, uint64_t now_ms, bool stalled)
 {
     if (raft->transfer_target != RAFT_NO_NODE && now_ms >= raft->transfer_deadline_ms) {
         raft->transfer_target = RAFT_NO_NODE;
     }
     if (now_ms >= raft->quorum_checked_ms + raft->config.election_timeout_ms) {
         raft->quorum_checked_ms = now_ms;
-        if (raft_steps_down(raft, now_ms, stood_still)) {
+        if (raft_has_lost_quorum(raft, now_ms, stalled)) {
             raft_become_follower(raft, now_ms, raft->term, RAFT_NO_NODE);
             return;
         }
@@ -412,25 +413,25 @@
 
 void raft_tick(struct raft *raft, uint64_t now_ms)
 {
-    bool stood_still = raft_stood_still(raft, now_ms);
+    bool stalled = raft_detect_stall(raft, now_ms);
     if (raft->role == RAFT_LEADER) {
-        raft_tick_leader(raft, now_ms, stood_still);
+        raft_tick_leader(raft, now_ms, stalled);
         return;
     }
     bool may_campaign = raft_is_voter(&raft->members, raft->config.node);
     if (!may_campaign || now_ms < raft->election_deadline_ms) {
         return;
     }
-    if (stood_still && raft->excused_ms == 0) {
-        raft->excused_ms = now_ms;
+    if (stalled && raft->stall_grace_ms == 0) {
+        /* Messages from the leader may be unread: postpone the campaign once. */
+        raft->stall_grace_ms = now_ms;
         raft->election_deadline_ms = now_ms + raft->config.heartbeat_ms;
         return;
     }
     raft_campaign(raft, now_ms, true, false);
 }
 
-/* A vote request within an election timeout of a live leader is ignored, so
- * that a replica that was cut off cannot disturb the group. */
+/* If true, vote requests are ignored, so that a replica returning from a partition cannot disrupt the group. */
 static bool raft_leader_is_recent(const struct raft *raft, uint64_t now_ms)
 {
     if (raft->role == RAFT_LEADER) {
@@ -449,8 +450,7 @@
     return message->type == RAFT_APPEND || message->type == RAFT_SNAPSHOT;
 }
 
-/* Adopts a newer term. Pre-votes and granted pre-vote replies carry a term
- * that nobody has entered yet and are left alone. */
+/* Adopts a newer term, except that of pre-vote requests and granted pre-vote replies: no replica has entered it yet. */
 static void raft_observe_term(struct raft *raft, uint64_t now_ms, uint32_t from, const RaftMessage *message)
 {
     bool hypothetical = message->type == RAFT_PRE_VOTE || (message->type == RAFT_PRE_VOTE_REPLY && !message->reject);
@@ -460,7 +460,7 @@
     raft_become_follower(raft, now_ms, message->term, raft_is_leader_message(message) ? from : RAFT_NO_NODE);
 }
 
-/* Answers a stale leader, so that it learns the newer term and steps down. */
+/* Rejects a leader or candidate of an older term, so that it learns the newer one. */
 static void raft_reject_stale(struct raft *raft, uint32_t from, const RaftMessage *message)
 {
     if (!raft_is_leader_message(message) && !raft_is_vote_request(message)) {
@@ -483,6 +483,7 @@
 
 void raft_receive(struct raft *raft, uint64_t now_ms, uint32_t from, const RaftMessage *message)
 {
+    /* A vote request has a context only if a leadership transfer forces the election. */
     bool forced = message->context != 0;
     if (raft_is_vote_request(message) && !forced && raft_leader_is_recent(raft, now_ms)) {
         return;
--- a/src/core/raft.h
+++ b/src/core/raft.h
@@ -1,20 +1,18 @@
 /**
  * @file raft.h
- * Consensus on one replicated log (Raft), as a pure state machine.
- *
- * A group is driven by events with a time (tick, receive, propose, synced)
- * and answers through the `raft_io` table. It has no thread, socket, file,
- * clock or random source; election jitter is a hash of seed, node and term.
+ * Raft consensus on one replicated log, as a deterministic state machine
+ * without threads, I/O, clock or random source. Timestamped events drive it, and
+ * it acts through the `raft_io` callbacks.
  *
  * Extensions over the basic algorithm: pre-vote, check-quorum (a leader that
- * does not hear from a quorum within an election timeout steps down; silence that is
- * seen at the end of a standstill of the own process is excused until others could speak),
- * linearizable reads by heartbeat rounds, leader transfer, learners,
- * one-at-a-time membership change, and chunked snapshot installation.
+ * does not hear from a quorum within an election timeout steps down, but after a
+ * stall of its own process peers first get time to respond), linearizable reads
+ * by heartbeat rounds, leadership transfer, learners, one-at-a-time membership
+ * changes, and chunked snapshot transfer.
  *
- * Durability rule: whatever is written through `save_state` and `append` is
- * durable only after the host's next sync. The host releases messages marked
- * `after_sync` only then, and calls raft_synced() when the sync has returned.
+ * Data passed to `save_state` and `append` is durable only after the host's next
+ * sync. The host holds messages marked `after_sync` until then, and calls
+ * raft_synced() when the sync has returned.
  *
  * Source: Ongaro, "Consensus: Bridging Theory and Practice" (2014).
  */
@@ -31,12 +29,12 @@
     RAFT_MAX_MEMBERS = 16,             /**< Voters and learners of one group. */
     RAFT_NAME_MAX = 48,                /**< Bytes of a member's machine name, NUL included. */
     RAFT_ZONE_MAX = 32,                /**< Bytes of a member's zone, NUL included. */
-    RAFT_MAX_INFLIGHT_ENTRIES = 512,   /**< Entries sent to a follower beyond its acknowledgement. */
-    RAFT_MAX_INFLIGHT_BYTES = 1 << 20, /**< Entry bytes sent to a follower beyond its acknowledgement. */
-    RAFT_MAX_BATCH_BYTES = 256 << 10,  /**< Entry bytes of one append message. */
-    RAFT_ENTRY_HELD_BYTES = 64,        /**< Memory of an entry beside its payload: record and allocator, about. */
-    RAFT_SNAPSHOT_CHUNK = 256 << 10,   /**< Bytes of one snapshot message. */
-    RAFT_NO_NODE = 0                   /**< Node ids start at 1. */
+    RAFT_MAX_INFLIGHT_ENTRIES = 512,   /**< Unacknowledged, per follower. */
+    RAFT_MAX_INFLIGHT_BYTES = 1 << 20, /**< Unacknowledged, per follower. */
+    RAFT_MAX_BATCH_BYTES = 256 << 10,  /**< Entry payload in one append message. */
+    RAFT_ENTRY_OVERHEAD_BYTES = 64,    /**< Estimated memory of an entry besides its payload. */
+    RAFT_SNAPSHOT_CHUNK_BYTES = 256 << 10,
+    RAFT_NO_NODE = 0 /**< Node ids start at 1. */
 };
 
 enum raft_role { RAFT_FOLLOWER, RAFT_PRE_CANDIDATE, RAFT_CANDIDATE, RAFT_LEADER };
@@ -60,160 +58,161 @@
     RAFT_TIMEOUT_NOW
 };
 
-/** One log entry. The log owns `data`. */
+/** The log owns `data`. */
 struct raft_entry {
-    uint64_t index;            /**< Position, from 1. */
-    uint64_t term;             /**< Term of the leader that made it. */
-    enum raft_entry_type type; /**< What `data` holds. */
-    uint8_t *data;             /**< Payload. */
-    size_t length;             /**< Payload bytes. */
+    uint64_t index; /**< Starts at 1. */
+    uint64_t term;  /**< Term of the leader that created it. */
+    enum raft_entry_type type;
+    uint8_t *data;
+    size_t length;
 };
 
-/** Where a member runs; all zero where the replicas are configured. */
-struct raft_member_place {
+/** All zero if the replicas are listed in the settings. */
+struct raft_member_location {
     char name[RAFT_NAME_MAX]; /**< Machine name. */
-    char zone[RAFT_ZONE_MAX]; /**< Zone. */
-    uint32_t ip;              /**< IPv4 address of the peer link, host order. */
+    char zone[RAFT_ZONE_MAX]; /**< Empty: not configured. */
+    uint32_t ip;              /**< IPv4 address of the peer link, in host byte order. */
     uint16_t port;            /**< Port of the peer link. */
 };
 
-/** The members of a group. */
 struct raft_members {
-    uint32_t count;                                    /**< Number of members. */
-    uint32_t nodes[RAFT_MAX_MEMBERS];                  /**< Node ids. */
-    bool learners[RAFT_MAX_MEMBERS];                   /**< True: receives the log, has no vote. */
-    struct raft_member_place places[RAFT_MAX_MEMBERS]; /**< Where they run. */
+    uint32_t count;
+    uint32_t nodes[RAFT_MAX_MEMBERS];
+    bool learners[RAFT_MAX_MEMBERS]; /**< Learners receive the log but have no vote. */
+    struct raft_member_location locations[RAFT_MAX_MEMBERS];
 };
 
-/** What a stored snapshot covers. */
+/** Metadata of a snapshot. */
 struct raft_snapshot {
-    uint64_t index;              /**< Last entry covered; 0: there is none. */
-    uint64_t term;               /**< Its term. */
+    uint64_t index;              /**< Last entry covered; 0: no snapshot. */
+    uint64_t term;               /**< Term of that entry. */
     struct raft_members members; /**< Members at that entry. */
 };
 
-/** Effects of a group, carried out by its host. */
+/** Callbacks, implemented by the host. */
 struct raft_io {
-    void *context; /**< First argument of every function. */
+    void *context; /**< Passed to every callback. */
     /** Writes term and vote; durable after the next sync. */
     void (*save_state)(void *context, uint32_t group, uint64_t term, uint32_t vote);
     /** Writes one entry; an entry at or before the end of the log replaces the tail from there. */
     void (*append)(void *context, uint32_t group, const struct raft_entry *entry);
-    /** Sends a message; views in it are valid only during the call. */
+    /** Sends a message, with `after_sync` only after the next sync; its views are valid only during the call. */
     void (*send)(void *context, uint32_t group, uint32_t to, const RaftMessage *message, bool after_sync);
-    /** Applies a committed entry; called once an entry, in order. */
+    /** Applies a committed entry; called once per entry, in log order. */
     void (*apply)(void *context, uint32_t group, const struct raft_entry *entry);
-    /** Reports a read started with raft_read(): may run now (`ok`) or must be retried elsewhere. */
+    /** Completes raft_read(): the read may run now (`ok`), or the caller must retry it on another replica. */
     void (*read_ready)(void *context, uint32_t group, uint64_t read_id, bool ok);
     /**
-     * Appends the next bytes, for another machine, of the snapshot stored at `index`; `at` is the place reached in
-     * it, 0 at first. Nothing is appended at its end. False: that snapshot is not there any more.
+     * Appends the next bytes of the snapshot stored at `index`, in the form sent to other replicas, and advances the
+     * read offset, which is 0 at first. Appends nothing at the end. False: that snapshot cannot be read, or was
+     * replaced.
      */
-    bool (*read_snapshot)(void *context, uint32_t group, uint64_t index, uint64_t *at, struct buffer *out);
+    bool (*read_snapshot)(void *context, uint32_t group, uint64_t index, uint64_t *offset, struct buffer *out);
     /**
-     * Takes bytes of a snapshot from the leader in their order, up to the `last`; then the state is replaced, durably,
-     * and of the log what raft_holds() does not let stay. False: refused, it must come again from its `first` bytes.
+     * Receives the next bytes of a snapshot from the leader, in order. With `last`, durably replaces the state, and
+     * deletes the log entries that the snapshot covers, or all of them unless raft_log_matches_snapshot(). False:
+     * refused; the leader must send the snapshot again from the start.
      */
-    bool (*take_snapshot)(void *context, uint32_t group, const struct raft_snapshot *snapshot, struct view bytes,
-                          bool first, bool last);
-    /** Tells that role, term or leader changed. */
+    bool (*receive_snapshot)(void *context, uint32_t group, const struct raft_snapshot *snapshot, struct view bytes,
+                             bool first, bool last);
+    /** Reports that role, term or leader changed. */
     void (*role_changed)(void *context, uint32_t group);
 };
 
-/** Fixed settings of a group. */
 struct raft_config {
     uint32_t node;                /**< This replica's id. */
-    uint32_t group;               /**< Group id carried by every message. */
-    uint32_t election_timeout_ms; /**< Least time without a leader before an election. */
-    uint32_t heartbeat_ms;        /**< Leader's heartbeat period. */
-    uint32_t first_election_ms;   /**< The same after the start, or after the connection to the leader ended;
-                                       0: election_timeout_ms. */
-    uint64_t seed;                /**< Seed of the election jitter. */
-    size_t log_bytes_most;        /**< Log in memory above which no entry is taken; 0: no limit. */
+    uint32_t group;               /**< Passed to every callback. */
+    uint32_t election_timeout_ms; /**< Minimum time without leader contact before an election. */
+    uint32_t heartbeat_ms;
+    uint32_t short_election_timeout_ms; /**< Election timeout after the start, after a failed pre-vote or when the
+                                           connection to the leader ended; 0: election_timeout_ms. */
+    uint64_t seed;                      /**< For the election jitter. */
+    size_t max_log_bytes;               /**< Size of the log in memory at which it refuses entries; 0: no limit. */
 };
 
-/** What a leader knows of one member. */
+/** Replication state that a leader keeps per member. */
 struct raft_progress {
-    uint32_t node;                 /**< Member's id. */
-    uint64_t match;                /**< Highest entry known to be synced there. */
-    uint64_t next;                 /**< Next entry to send. */
-    uint64_t last_heard_ms;        /**< Time of the last reply. */
-    uint64_t acked_round;          /**< Highest heartbeat round answered. */
-    bool probing;                  /**< One message at a time until an acknowledgement. */
-    size_t inflight_bytes;         /**< Entry bytes sent and not acknowledged. */
-    bool snapshot_active;          /**< A snapshot is being sent. */
-    struct raft_snapshot snapshot; /**< Which one. */
-    uint64_t snapshot_at;          /**< Place reached in the stored one. */
-    bool snapshot_read;            /**< It was read to its end. */
-    uint64_t snapshot_offset;      /**< Bytes acknowledged. */
-    size_t snapshot_sent;          /**< Bytes of the chunk that is under way. */
-    uint64_t snapshot_sent_ms;     /**< Time it went out. */
-    struct buffer snapshot_bytes;  /**< Bytes that were read and not acknowledged. */
+    uint32_t node;
+    uint64_t match; /**< Highest entry known to be durable there. */
+    uint64_t next;  /**< Next entry to send. */
+    uint64_t last_contact_ms;
+    uint64_t acked_round; /**< Highest heartbeat round acknowledged. */
+    bool probing; /**< Until an append succeeds: entries are sent only with heartbeats and in answer to replies, and
+                     `next` does not advance. */
+    size_t inflight_bytes; /**< Entry payload sent and not yet acknowledged. */
+    bool snapshot_active;
+    struct raft_snapshot snapshot; /**< The snapshot being sent. */
+    uint64_t snapshot_read_offset; /**< Offset in the stored snapshot. */
+    bool snapshot_read_done;
+    uint64_t snapshot_offset;       /**< Snapshot bytes acknowledged. */
+    size_t snapshot_inflight_bytes; /**< Size of the chunk in flight. */
+    uint64_t snapshot_sent_ms;      /**< Time that chunk was sent. */
+    struct buffer snapshot_buffer;  /**< Bytes read and not yet acknowledged. */
 };
 
-/** A linearizable read that waits for a heartbeat round. */
+/** A linearizable read that waits for its heartbeat round. */
 struct raft_pending_read {
-    uint64_t id;    /**< Caller's id. */
-    uint64_t round; /**< Round that proves leadership. */
-    uint64_t index; /**< Commit index that must be applied. */
+    uint64_t id;    /**< Assigned by the caller. */
+    uint64_t round; /**< Heartbeat round that confirms leadership. */
+    uint64_t index; /**< Commit index that must be applied first. */
 };
 
-/** Log kept in memory after the last compaction. */
+/** Log entries in memory: those after the last compaction. */
 struct raft_log {
     uint64_t base_index;        /**< Last compacted entry. */
-    uint64_t base_term;         /**< Its term. */
-    struct raft_entry *entries; /**< Entries base_index + 1 ... */
-    size_t count;               /**< Number of entries. */
-    size_t capacity;            /**< Allocated entries. */
-    size_t bytes;               /**< Memory of the entries. */
+    uint64_t base_term;         /**< Term of that entry. */
+    struct raft_entry *entries; /**< The first one is at base_index + 1. */
+    size_t count;
+    size_t capacity;
+    size_t bytes; /**< Estimated memory of the entries. */
 };
 
-/** One replica of one group. */
+/** One replica of a group. */
 struct raft {
-    struct raft_config config;                       /**< Fixed settings. */
-    struct raft_io io;                               /**< Effects. */
-    enum raft_role role;                             /**< Current role. */
-    uint64_t term;                                   /**< Current term. */
-    uint32_t vote;                                   /**< Candidate voted for in `term`. */
-    uint32_t leader;                                 /**< Known leader of `term`, or RAFT_NO_NODE. */
-    struct raft_log log;                             /**< Entries in memory. */
-    uint64_t commit;                                 /**< Highest committed entry. */
-    uint64_t applied;                                /**< Highest applied entry. */
-    uint64_t synced;                                 /**< Highest own entry known to be synced. */
-    struct raft_members members;                     /**< Latest members, committed or not. */
-    uint64_t members_index;                          /**< Entry that set them. */
-    struct raft_members previous_members;            /**< Members before that entry. */
-    uint64_t previous_members_index;                 /**< Entry that set those. */
-    struct raft_members base_members;                /**< Members at the last compacted entry. */
-    uint64_t election_deadline_ms;                   /**< Follower: time to campaign. */
-    uint64_t last_leader_contact_ms;                 /**< Time the leader was last heard. */
-    uint64_t current_ms;                             /**< Follower: when it had applied all that its settled
-                                                          leader told as committed; 0: not yet. */
-    uint64_t heartbeat_due_ms;                       /**< Leader: next heartbeat. */
+    struct raft_config config;
+    struct raft_io io;
+    enum raft_role role;
+    uint64_t term;
+    uint32_t vote;   /**< Candidate voted for in `term`, or RAFT_NO_NODE. */
+    uint32_t leader; /**< Leader of `term`; RAFT_NO_NODE: unknown. */
+    struct raft_log log;
+    uint64_t commit;                      /**< Highest committed entry. */
+    uint64_t applied;                     /**< Highest applied entry. */
+    uint64_t synced;                      /**< Highest entry known to be durable on this node. */
+    struct raft_members members;          /**< Latest members, committed or not. */
+    uint64_t members_index;               /**< Entry that set them. */
+    struct raft_members previous_members; /**< Members before that entry. */
+    uint64_t previous_members_index;
+    struct raft_members base_members; /**< Members at log.base_index. */
+    uint64_t election_deadline_ms;    /**< Not leader: time to campaign. */
+    uint64_t last_leader_contact_ms;
+    uint64_t caught_up_ms; /**< Follower: last time it had applied the leader's commit index, if that entry is of the
+                              current term; 0: not yet. */
+    uint64_t heartbeat_due_ms;
     uint64_t quorum_checked_ms;                      /**< Leader: start of the current check-quorum window. */
-    uint64_t ticked_ms;                              /**< Last tick, 0: none yet. */
-    uint64_t excused_ms;                             /**< When silence was last excused, 0: never since a contact. */
-    uint64_t elections;                              /**< Campaigns started, part of the jitter. */
-    bool votes[RAFT_MAX_MEMBERS];                    /**< Candidate: grants by member position. */
+    uint64_t last_tick_ms;                           /**< 0: none yet. */
+    uint64_t stall_grace_ms;                         /**< Last time silent peers were tolerated because this process
+                                                          stalled; 0: not since the election timer was reset. */
+    uint64_t campaigns;                              /**< Campaigns started; input of the jitter. */
+    bool votes[RAFT_MAX_MEMBERS];                    /**< Candidate: votes granted, by member position. */
     struct raft_progress progress[RAFT_MAX_MEMBERS]; /**< Leader: by member position. */
-    bool send_due;                                   /**< Leader: members may lack entries; raft_flush(). */
-    bool round_due;                                  /**< Leader: reads wait for a round; raft_flush(). */
-    uint64_t round;                                  /**< Leader: heartbeat round number. */
-    struct raft_pending_read *reads;                 /**< Reads that wait: each has its caller's request. */
-    size_t read_room;                                /**< Places in `reads`. */
-    size_t read_count;                               /**< Number of waiting reads. */
-    uint32_t transfer_target;                        /**< Leader transfer in progress, or RAFT_NO_NODE. */
-    uint64_t transfer_deadline_ms;                   /**< Time the transfer is given up. */
-    struct raft_snapshot snapshot;                   /**< The one stored here. */
-    struct raft_snapshot incoming;                   /**< Follower: the one that is being received. */
-    uint64_t incoming_offset;                        /**< Bytes of it taken so far. */
+    bool send_due;                                   /**< Leader: members may lack entries; sent by raft_flush(). */
+    bool round_due;                                  /**< Leader: reads need a new round; begun by raft_flush(). */
+    uint64_t round;                                  /**< Leader: last heartbeat round begun. */
+    struct raft_pending_read *reads;                 /**< Pending, in the order they were started. */
+    size_t read_capacity;
+    size_t read_count;
+    uint32_t transfer_target;      /**< Target of a leadership transfer, or RAFT_NO_NODE. */
+    uint64_t transfer_deadline_ms; /**< Time at which the transfer is abandoned. */
+    struct raft_snapshot snapshot; /**< Latest snapshot stored on this node. */
+    struct raft_snapshot incoming; /**< Follower: snapshot being received. */
+    uint64_t incoming_offset;      /**< Bytes of it received so far. */
 };
 
-/** Starts an empty replica as a follower. `members` are the bootstrap members. */
+/** `members` are the bootstrap members, replaced by those of a snapshot or log entry. */
 void raft_init(struct raft *raft, const struct raft_config *config, const struct raft_io *io,
                const struct raft_members *members);
 
-/** Frees the replica. */
 void raft_close(struct raft *raft);
 
 /** Before raft_start: sets the stored term and vote. */
@@ -222,120 +221,114 @@
 /** Before raft_start: sets the snapshot that the state machine was loaded from. */
 void raft_restore_snapshot(struct raft *raft, uint64_t index, uint64_t term, const struct raft_members *members);
 
-/** Before raft_start: adds a stored entry in order of writing; a repeated index
- * replaces the tail from there. False: the entry leaves a gap. */
+/** Before raft_start: adds stored entries in the order they were written; an index that
+ * is already present truncates the log from there. False: the entry leaves a gap. */
 bool raft_restore_entry(struct raft *raft, const struct raft_entry *entry);
 
-/** Before raft_start: drops the entries behind the snapshot that were added so far. */
+/** Before raft_start: removes the entries added so far, all of which follow the snapshot. */
 void raft_restore_reset(struct raft *raft);
 
-/** Begins to run; a sole voter campaigns at once. */
+/** Starts as a follower; a sole voter campaigns at once. */
 void raft_start(struct raft *raft, uint64_t now_ms);
 
-/** Advances time. */
+/** Call at least once per heartbeat period; a longer gap counts as a stall of this process. */
 void raft_tick(struct raft *raft, uint64_t now_ms);
 
 /**
- * The connection to a node ended. Where it was the leader, an election
- * follows soon: voters that still hear it refuse the pre-vote.
+ * Reports that the connection to a node ended. If it was the leader, the
+ * election timer is shortened; voters that still receive messages from the
+ * leader ignore the pre-vote.
  */
-void raft_peer_lost(struct raft *raft, uint64_t now_ms, uint32_t node);
+void raft_peer_disconnected(struct raft *raft, uint64_t now_ms, uint32_t node);
 
-/** Handles a message from member `from`. */
 void raft_receive(struct raft *raft, uint64_t now_ms, uint32_t from, const RaftMessage *message);
 
-/** Proposes a command; returns its index, or 0 if this replica cannot accept it. raft_flush() sends it. */
+/** Proposes a command; returns its index, or 0 if this replica cannot accept it. raft_flush() sends the entry. */
 uint64_t raft_propose(struct raft *raft, struct view data);
 
-/**
- * Sends members what they lack, in one message each: call it once all events
- * at hand were taken. The more of them came at once, the larger the message,
- * so that a leader's work for an entry falls as its load grows.
- */
+/** Sends the pending entries and heartbeat round, in one message per member. Call it once per batch of events, which
+ * lowers a leader's cost per entry under load. */
 void raft_flush(struct raft *raft, uint64_t now_ms);
 
-/** Proposes new members that differ by one; returns the entry's index or 0. */
+/** Proposes a member list that differs from the current one by one member; returns the entry's index, or 0 if this
+ * replica cannot accept it. */
 uint64_t raft_propose_members(struct raft *raft, uint64_t now_ms, const struct raft_members *members);
 
-/** Starts a linearizable read; returns false if this replica is not a settled leader. raft_flush() begins its round,
- * one for all reads that came meanwhile. */
+/** Starts a linearizable read; returns false unless this replica leads and has committed an entry of its own term.
+ * raft_flush() begins the heartbeat round, one for all reads started since the last one. */
 bool raft_read(struct raft *raft, uint64_t read_id);
 
-/** Starts a leader transfer; returns false if not leader or `target` is no voter. */
+/** Starts a leadership transfer; returns false if this replica is not the leader, or `target` is not another voter. */
 bool raft_transfer(struct raft *raft, uint64_t now_ms, uint32_t target);
 
-/** Tells that everything written before this call is durable. */
+/** Reports that everything written before this call is durable. */
 void raft_synced(struct raft *raft, uint64_t now_ms);
 
-/** Tells that a snapshot at the applied entry was stored; drops entries up to `keep_after`, at most that one. */
-void raft_snapshot_saved(struct raft *raft, uint64_t keep_after);
+/** Reports that a snapshot at the applied index was stored. Compacts the log up to `compact_index`, which is at most
+ * the applied index. */
+void raft_snapshot_saved(struct raft *raft, uint64_t compact_index);
 
-/** Whether a member that was heard of lately is being sent a snapshot. */
+/** Whether a snapshot is being sent to an active member (see raft_member_is_active()). */
 bool raft_is_sending_snapshot(const struct raft *raft, uint64_t now_ms);
 
-/** Index of the last entry in the log. */
 uint64_t raft_last_index(const struct raft *raft);
 
-/** Term of the entry at `index`; 0 if it is not known. */
+/** Returns 0 if the term at `index` is unknown. */
 uint64_t raft_term_at(const struct raft *raft, uint64_t index);
 
-/** Whether the log holds the entry that a snapshot from the leader ends with: what stands behind it then follows from
- * it, was acknowledged, and stays. */
-bool raft_holds(const struct raft *raft, const struct raft_snapshot *snapshot);
+/** Whether the log contains the last entry that a snapshot from the leader covers. Later entries then extend the
+ * snapshot and must be kept: they were acknowledged. */
+bool raft_log_matches_snapshot(const struct raft *raft, const struct raft_snapshot *snapshot);
 
 /** Members at the applied index. */
 const struct raft_members *raft_applied_members(const struct raft *raft);
 
-/** Whether the log in memory has reached its limit. */
+/** See raft_config.max_log_bytes. */
 bool raft_log_is_full(const struct raft *raft);
 
-/** Whether this replica leads. */
 bool raft_is_leader(const struct raft *raft);
 
-/** Whether a member was heard of lately and lacks only what is in flight. */
+/** Leader: whether a member is active and lacks fewer than RAFT_MAX_INFLIGHT_ENTRIES entries. */
 bool raft_has_caught_up(const struct raft *raft, uint32_t node, uint64_t now_ms);
 
-/** Index after which at most `entries` applied entries of at most `bytes` in all follow. */
-uint64_t raft_tail_start(const struct raft *raft, uint64_t entries, size_t bytes);
+/** Index up to which to compact the log so that at most `entries` applied entries, of at most `bytes` of payload in
+ * total, are kept. */
+uint64_t raft_compaction_index(const struct raft *raft, uint64_t entries, size_t bytes);
 
-/** Members with a vote. */
 uint32_t raft_voter_count(const struct raft_members *members);
 
-/** Whether a leader heard of a quorum of voters within an election timeout. */
-bool raft_heard_from_quorum(const struct raft *raft, uint64_t now_ms);
+/** Whether a leader heard from a quorum of voters, itself included, within the last election timeout. */
+bool raft_quorum_is_active(const struct raft *raft, uint64_t now_ms);
 
-/** Whether a leader heard of a quorum of voters since a time. */
-bool raft_quorum_spoke_since(const struct raft *raft, uint64_t since_ms);
+/** Whether a leader heard from a quorum of voters, itself included, since a time. */
+bool raft_quorum_active_since(const struct raft *raft, uint64_t since_ms);
 
 /**
- * Whether everything that was committed an election timeout ago is applied here: a leader that has committed in its
- * own term and hears a quorum; a follower that had, within that time, applied all that such a leader told it. A replica
- * that has just started, lags, or is being sent a snapshot is not current; one that lacks a moment's entries under load
- * is. Messages count by when they are read: a process that stood still may take what came before for new. Who cannot
- * bear that asks the leader (raft_read).
+ * Whether this replica has applied everything that was committed one election timeout ago. True for a leader that has
+ * committed an entry of its own term and has an active quorum, and for a follower that had applied such a leader's
+ * commit index within the last election timeout. Messages count from the time they are read, so a process that stalled
+ * may mistake old messages for new ones; for linearizability use raft_read().
  */
-bool raft_is_current(const struct raft *raft, uint64_t now_ms);
+bool raft_is_fresh(const struct raft *raft, uint64_t now_ms);
 
-/** Whether a leader heard of the member at `position` within an election timeout. */
-bool raft_hears_member(const struct raft *raft, uint32_t position, uint64_t now_ms);
+/** Whether a leader heard from the member at `position` within the last election timeout. */
+bool raft_member_is_active(const struct raft *raft, uint32_t position, uint64_t now_ms);
 
-/** Converts to and from the encoded wire form. */
+/** Convert from and to the encoded wire format; decoding returns false for invalid input. */
 bool raft_members_decode(struct view data, struct raft_members *members);
 void raft_members_encode(const struct raft_members *members, struct buffer *out);
 
-/** Fills `wire`, whose texts borrow from `members`, with RAFT_MAX_MEMBERS items of storage. */
+/** Fills `wire`. Its strings point into `members`; `items` is storage for RAFT_MAX_MEMBERS members. */
 void raft_members_to_wire(const struct raft_members *members, Member *items, Members *wire);
 
-/** Reads the wire form; false: too many members. */
+/** Returns false if there are too many members. */
 bool raft_members_from_wire(const Members *wire, struct raft_members *members);
 
-/** Reads one member's place. */
-void raft_member_place_from_wire(const Member *wire, struct raft_member_place *place);
+void raft_member_location_from_wire(const Member *wire, struct raft_member_location *location);
 
-/** Position of a node among the members, or -1. */
+/** Returns -1 if the node is not a member. */
 int raft_member_position(const struct raft_members *members, uint32_t node);
 
-/** Whether a node is a member with a vote. */
 bool raft_is_voter(const struct raft_members *members, uint32_t node);
 
 #endif
