--- a/src/core/raft_election.c
+++ b/src/core/raft_election.c
@@ -1,31 +1,31 @@
-/* Elections: pre-vote, vote and the changes of role. */
+/* Elections: pre-vote, vote and role changes. */
 #include "core/raft_internal.h"
 
 #include <string.h>
 
 #include <xxhash.h>
 
-/* Spreads campaigns over one more election timeout. */
+/* Pseudo-random delay, less than one election timeout, so that replicas rarely campaign at the same time. */
 static uint64_t raft_election_jitter(const struct raft *raft)
 {
-    uint64_t material[4] = {raft->config.seed, raft->config.node,
-                            ((uint64_t)raft->config.group << 32) | (uint32_t)raft->elections, raft->term};
-    return XXH64(material, sizeof(material), raft->config.seed) % raft->config.election_timeout_ms;
+    uint64_t input[4] = {raft->config.seed, raft->config.node,
+                         ((uint64_t)raft->config.group << 32) | (uint32_t)raft->campaigns, raft->term};
+    return XXH64(input, sizeof(input), raft->config.seed) % raft->config.election_timeout_ms;
 }
 
 void raft_reset_election_timer(struct raft *raft, uint64_t now_ms)
 {
-    raft->excused_ms = 0;
+    raft->stall_grace_ms = 0;
     raft->election_deadline_ms = now_ms + raft->config.election_timeout_ms + raft_election_jitter(raft);
 }
 
-void raft_hurry_election(struct raft *raft, uint64_t now_ms)
+void raft_reset_short_election_timer(struct raft *raft, uint64_t now_ms)
 {
     raft_reset_election_timer(raft, now_ms);
-    if (raft->config.first_election_ms != 0) {
+    if (raft->config.short_election_timeout_ms != 0) {
         uint64_t wait_ms = raft->election_deadline_ms - now_ms;
         raft->election_deadline_ms =
-            now_ms + wait_ms * raft->config.first_election_ms / raft->config.election_timeout_ms;
+            now_ms + wait_ms * raft->config.short_election_timeout_ms / raft->config.election_timeout_ms;
     }
 }
 
@@ -43,7 +43,7 @@
         raft->vote = RAFT_NO_NODE;
         raft->io.save_state(raft->io.context, raft->config.group, raft->term, raft->vote);
     }
-    raft->current_ms = changed ? 0 : raft->current_ms;
+    raft->caught_up_ms = changed ? 0 : raft->caught_up_ms;
     raft->role = RAFT_FOLLOWER;
     raft->leader = leader;
     raft->transfer_target = RAFT_NO_NODE;
@@ -67,7 +67,7 @@
     raft->role = RAFT_LEADER;
     raft->leader = raft->config.node;
     raft->quorum_checked_ms = now_ms;
-    raft->excused_ms = 0;
+    raft->stall_grace_ms = 0;
     raft->transfer_target = RAFT_NO_NODE;
     raft->round = 0;
     for (int i = 0; i < RAFT_MAX_MEMBERS; i++) {
@@ -79,7 +79,7 @@
         progress->node = raft->members.nodes[i];
         progress->next = raft_last_index(raft) + 1;
         progress->probing = true;
-        progress->last_heard_ms = now_ms;
+        progress->last_contact_ms = now_ms;
         progress->match = progress->node == raft->config.node ? raft->synced : 0;
     }
     raft_append_local(raft, RAFT_ENTRY_NOOP, view_of(NULL, 0));
@@ -96,11 +96,11 @@
     return granted > raft_voter_count(&raft->members) / 2;
 }
 
-/* A pre-vote disturbs nobody, so that one that failed is tried again soon: voters that start apart from each other
- * have a leader moments after the last one that is needed, not an election timeout later. */
+/* A failed pre-vote is retried after the short election timeout, since pre-votes do not disrupt other replicas; a
+ * leader is then elected soon after a quorum of voters is running. */
 void raft_campaign(struct raft *raft, uint64_t now_ms, bool pre_vote, bool forced)
 {
-    raft->elections++;
+    raft->campaigns++;
     raft->leader = RAFT_NO_NODE;
     raft->role = pre_vote ? RAFT_PRE_CANDIDATE : RAFT_CANDIDATE;
     if (!pre_vote) {
@@ -109,7 +109,7 @@
         raft->io.save_state(raft->io.context, raft->config.group, raft->term, raft->vote);
     }
     if (pre_vote) {
-        raft_hurry_election(raft, now_ms);
+        raft_reset_short_election_timer(raft, now_ms);
     } else {
         raft_reset_election_timer(raft, now_ms);
     }
@@ -140,7 +140,7 @@
     }
 }
 
-static bool raft_log_is_current(const struct raft *raft, const RaftMessage *request)
+static bool raft_candidate_is_up_to_date(const struct raft *raft, const RaftMessage *request)
 {
     uint64_t last = raft_last_index(raft);
     uint64_t last_term = raft_term_at(raft, last);
@@ -153,9 +153,9 @@
 void raft_handle_vote(struct raft *raft, uint64_t now_ms, uint32_t from, const RaftMessage *message)
 {
     bool pre_vote = message->type == RAFT_PRE_VOTE;
-    bool free_vote = raft->vote == RAFT_NO_NODE || raft->vote == from;
-    bool term_allows = pre_vote ? message->term > raft->term || raft->leader == RAFT_NO_NODE : free_vote;
-    bool granted = term_allows && raft_log_is_current(raft, message);
+    bool may_vote = raft->vote == RAFT_NO_NODE || raft->vote == from;
+    bool term_allows = pre_vote ? message->term > raft->term || raft->leader == RAFT_NO_NODE : may_vote;
+    bool granted = term_allows && raft_candidate_is_up_to_date(raft, message);
     if (granted && !pre_vote) {
         raft->vote = from;
         raft->io.save_state(raft->io.context, raft->config.group, raft->term, raft->vote);
@@ -189,13 +189,13 @@
     raft_become_leader(raft, now_ms);
 }
 
-void raft_peer_lost(struct raft *raft, uint64_t now_ms, uint32_t node)
+void raft_peer_disconnected(struct raft *raft, uint64_t now_ms, uint32_t node)
 {
-    bool leader_lost = raft->role == RAFT_FOLLOWER && raft->leader != RAFT_NO_NODE && raft->leader == node;
-    if (!leader_lost || raft->config.first_election_ms == 0) {
+    bool was_leader = raft->role == RAFT_FOLLOWER && raft->leader != RAFT_NO_NODE && raft->leader == node;
+    if (!was_leader || raft->config.short_election_timeout_ms == 0) {
         return;
     }
     raft->leader = RAFT_NO_NODE;
-    raft_hurry_election(raft, now_ms);
+    raft_reset_short_election_timer(raft, now_ms);
     raft_notify_role(raft);
 }
--- a/src/core/raft_internal.h
+++ b/src/core/raft_internal.h
@@ -1,12 +1,12 @@
 /**
  * @file raft_internal.h
- * Functions shared by the parts of the consensus module; not for others.
+ * Functions private to the consensus module, shared by its source files.
  *
- *   raft.c              lifecycle, time, dispatch, membership
+ *   raft.c              lifecycle, ticks, message dispatch, membership
  *   raft_log.c          entries in memory
  *   raft_election.c     pre-vote, vote, role changes
  *   raft_replication.c  append, commit, reads
- *   raft_snapshot.c     snapshots, sent and received in chunks
+ *   raft_snapshot.c     chunked snapshot transfer
  */
 #ifndef BANKBANK_CORE_RAFT_INTERNAL_H
 #define BANKBANK_CORE_RAFT_INTERNAL_H
@@ -22,9 +22,11 @@
 void raft_log_close(struct raft_log *log);
 
 /* raft.c */
+/** Appends to the log in memory and through raft_io.append. */
 void raft_append_local(struct raft *raft, enum raft_entry_type type, struct view data);
 void raft_truncate(struct raft *raft, uint64_t from_index);
-void raft_adopt_entry(struct raft *raft, const struct raft_entry *entry);
+/** Appends to the log in memory only, and takes over the members of a RAFT_ENTRY_MEMBERS entry. */
+void raft_append_in_memory(struct raft *raft, const struct raft_entry *entry);
 void raft_set_members(struct raft *raft, const struct raft_members *members, uint64_t index);
 
 /* raft_election.c */
@@ -32,8 +34,8 @@
 void raft_campaign(struct raft *raft, uint64_t now_ms, bool pre_vote, bool forced);
 void raft_reset_election_timer(struct raft *raft, uint64_t now_ms);
 
-/** The same, with the shorter wait of a moment at which no leader can be alive. */
-void raft_hurry_election(struct raft *raft, uint64_t now_ms);
+/** Like raft_reset_election_timer(), with raft_config.short_election_timeout_ms. */
+void raft_reset_short_election_timer(struct raft *raft, uint64_t now_ms);
 void raft_handle_vote(struct raft *raft, uint64_t now_ms, uint32_t from, const RaftMessage *message);
 void raft_handle_vote_reply(struct raft *raft, uint64_t now_ms, uint32_t from, const RaftMessage *message);
 
@@ -46,13 +48,14 @@
 void raft_release_reads(struct raft *raft);
 void raft_advance_commit(struct raft *raft, uint64_t now_ms);
 void raft_apply_committed(struct raft *raft);
+/** Records contact from the leader of the current term; becomes its follower if needed. */
 void raft_follow(struct raft *raft, uint64_t now_ms, uint32_t leader);
 void raft_send_append(struct raft *raft, uint64_t now_ms, struct raft_progress *progress, bool heartbeat);
 struct raft_progress *raft_progress_of(struct raft *raft, uint32_t node);
 
 /* raft_snapshot.c */
 void raft_begin_snapshot(struct raft *raft, uint64_t now_ms, struct raft_progress *progress);
-void raft_continue_snapshot(struct raft *raft, uint64_t now_ms, struct raft_progress *progress);
+void raft_retry_snapshot_chunk(struct raft *raft, uint64_t now_ms, struct raft_progress *progress);
 void raft_end_snapshot(struct raft_progress *progress);
 void raft_handle_snapshot(struct raft *raft, uint64_t now_ms, uint32_t from, const RaftMessage *message);
 void raft_handle_snapshot_reply(struct raft *raft, uint64_t now_ms, uint32_t from, const RaftMessage *message);
--- a/src/core/raft_log.c
+++ b/src/core/raft_log.c
@@ -1,4 +1,4 @@
-/* Entries of one group that are held in memory: those after the last compaction. */
+/* In-memory log: the entries after the last compaction. */
 #include "core/raft_internal.h"
 
 #include <stdlib.h>
@@ -20,17 +20,17 @@
         log->capacity = log->capacity == 0 ? RAFT_LOG_MIN_CAPACITY : log->capacity * 2;
         log->entries = memory_resize(log->entries, log->capacity * sizeof(*log->entries));
     }
-    struct raft_entry *place = &log->entries[log->count++];
-    *place = *entry;
-    place->data = (uint8_t *)memory_copy(entry->data, entry->length);
-    log->bytes += entry->length + RAFT_ENTRY_HELD_BYTES;
+    struct raft_entry *added = &log->entries[log->count++];
+    *added = *entry;
+    added->data = (uint8_t *)memory_copy(entry->data, entry->length);
+    log->bytes += entry->length + RAFT_ENTRY_OVERHEAD_BYTES;
 }
 
 void raft_log_truncate(struct raft_log *log, uint64_t from_index)
 {
     while (log->count > 0 && log->entries[log->count - 1].index >= from_index) {
         log->count--;
-        log->bytes -= log->entries[log->count].length + RAFT_ENTRY_HELD_BYTES;
+        log->bytes -= log->entries[log->count].length + RAFT_ENTRY_OVERHEAD_BYTES;
         free(log->entries[log->count].data);
     }
 }
@@ -39,7 +39,7 @@
 {
     size_t drop = (size_t)(index - log->base_index);
     for (size_t i = 0; i < drop; i++) {
-        log->bytes -= log->entries[i].length + RAFT_ENTRY_HELD_BYTES;
+        log->bytes -= log->entries[i].length + RAFT_ENTRY_OVERHEAD_BYTES;
         free(log->entries[i].data);
     }
     memmove(log->entries, log->entries + drop, (log->count - drop) * sizeof(*log->entries));
--- a/src/core/raft_replication.c
+++ b/src/core/raft_replication.c
@@ -4,10 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-enum {
-    RAFT_MAX_BATCH_ENTRIES = 256,
-    RAFT_READS_FIRST = 64 /* places for reads at first */
-};
+enum { RAFT_MAX_BATCH_ENTRIES = 256, RAFT_READS_MIN_CAPACITY = 64 };
 
 /* ---- Leader: sending ---------------------------------------------------- */
 
@@ -30,11 +27,11 @@
     return count;
 }
 
-/* Sends what `progress` lacks; with `heartbeat` also when it lacks nothing. */
+/* Sends the entries or the snapshot that a member lacks; with `heartbeat`, sends an append message even if empty. */
 void raft_send_append(struct raft *raft, uint64_t now_ms, struct raft_progress *progress, bool heartbeat)
 {
     if (progress->snapshot_active) {
-        raft_continue_snapshot(raft, now_ms, progress);
+        raft_retry_snapshot_chunk(raft, now_ms, progress);
         if (!heartbeat) {
             return;
         }
@@ -53,7 +50,7 @@
     if (count == 0 && !heartbeat) {
         return;
     }
-    /* While a snapshot is under way the heartbeat only asserts leadership. */
+    /* During a snapshot transfer, a heartbeat only asserts leadership, without entries or commit index. */
     uint64_t previous = progress->snapshot_active ? 0 : progress->next - 1;
     RaftMessage message = {0};
     message.type = RAFT_APPEND;
@@ -92,9 +89,9 @@
     }
 }
 
-bool raft_hears_member(const struct raft *raft, uint32_t position, uint64_t now_ms)
+bool raft_member_is_active(const struct raft *raft, uint32_t position, uint64_t now_ms)
 {
-    return now_ms <= raft->progress[position].last_heard_ms + raft->config.election_timeout_ms;
+    return now_ms <= raft->progress[position].last_contact_ms + raft->config.election_timeout_ms;
 }
 
 bool raft_has_caught_up(const struct raft *raft, uint32_t node, uint64_t now_ms)
@@ -102,43 +99,43 @@
     for (uint32_t i = 0; i < raft->members.count; i++) {
         const struct raft_progress *progress = &raft->progress[i];
         if (progress->node == node) {
-            return raft_hears_member(raft, i, now_ms) &&
+            return raft_member_is_active(raft, i, now_ms) &&
                    progress->match + RAFT_MAX_INFLIGHT_ENTRIES > raft_last_index(raft);
         }
     }
     return false;
 }
 
-bool raft_quorum_spoke_since(const struct raft *raft, uint64_t since_ms)
+bool raft_quorum_active_since(const struct raft *raft, uint64_t since_ms)
 {
     uint32_t heard = 0;
     for (uint32_t i = 0; i < raft->members.count; i++) {
         const struct raft_progress *progress = &raft->progress[i];
-        bool spoke = progress->node == raft->config.node || progress->last_heard_ms >= since_ms;
-        heard += spoke && !raft->members.learners[i] ? 1 : 0;
+        bool active = progress->node == raft->config.node || progress->last_contact_ms >= since_ms;
+        heard += active && !raft->members.learners[i] ? 1 : 0;
     }
     return heard > raft_voter_count(&raft->members) / 2;
 }
 
-bool raft_heard_from_quorum(const struct raft *raft, uint64_t now_ms)
+bool raft_quorum_is_active(const struct raft *raft, uint64_t now_ms)
 {
     uint64_t timeout_ms = raft->config.election_timeout_ms;
-    return raft_quorum_spoke_since(raft, now_ms > timeout_ms ? now_ms - timeout_ms : 0);
+    return raft_quorum_active_since(raft, now_ms > timeout_ms ? now_ms - timeout_ms : 0);
 }
 
-/* An entry of the leader's own term is committed: only then does its commit index cover all that others committed. */
-static bool raft_commit_is_settled(const struct raft *raft, uint64_t commit)
+/* Until this holds, a leader's commit index may not cover everything that earlier leaders committed. */
+static bool raft_commit_is_in_term(const struct raft *raft, uint64_t commit)
 {
     return commit > 0 && raft_term_at(raft, commit) == raft->term;
 }
 
-bool raft_is_current(const struct raft *raft, uint64_t now_ms)
+bool raft_is_fresh(const struct raft *raft, uint64_t now_ms)
 {
     if (raft->role == RAFT_LEADER) {
-        return raft_commit_is_settled(raft, raft->commit) && raft_heard_from_quorum(raft, now_ms);
+        return raft_commit_is_in_term(raft, raft->commit) && raft_quorum_is_active(raft, now_ms);
     }
-    bool lately = raft->current_ms != 0 && now_ms < raft->current_ms + raft->config.election_timeout_ms;
-    return lately && raft->leader != RAFT_NO_NODE;
+    bool recent = raft->caught_up_ms != 0 && now_ms < raft->caught_up_ms + raft->config.election_timeout_ms;
+    return recent && raft->leader != RAFT_NO_NODE;
 }
 
 /* ---- Leader: commit and reads ------------------------------------------- */
@@ -150,7 +147,7 @@
     return left < right ? 1 : left > right ? -1 : 0;
 }
 
-/* The highest value that a quorum of voters has reached. */
+/* Highest value that a quorum of voters has reached. */
 static uint64_t raft_quorum_value(const struct raft *raft, uint64_t (*value)(const struct raft *, uint32_t))
 {
     uint64_t values[RAFT_MAX_MEMBERS];
@@ -180,11 +177,11 @@
 
 void raft_release_reads(struct raft *raft)
 {
-    uint64_t proven = raft_quorum_value(raft, raft_round_of);
+    uint64_t confirmed = raft_quorum_value(raft, raft_round_of);
     size_t kept = 0;
     for (size_t i = 0; i < raft->read_count; i++) {
         struct raft_pending_read read = raft->reads[i];
-        if (read.round <= proven && read.index <= raft->applied) {
+        if (read.round <= confirmed && read.index <= raft->applied) {
             raft->io.read_ready(raft->io.context, raft->config.group, read.id, true);
         } else {
             raft->reads[kept++] = read;
@@ -203,13 +200,13 @@
 
 bool raft_read(struct raft *raft, uint64_t read_id)
 {
-    bool settled = raft->role == RAFT_LEADER && raft_commit_is_settled(raft, raft->commit);
-    if (!settled) {
+    bool may_read = raft->role == RAFT_LEADER && raft_commit_is_in_term(raft, raft->commit);
+    if (!may_read) {
         return false;
     }
-    if (raft->read_count == raft->read_room) {
-        raft->read_room = 2 * raft->read_room + RAFT_READS_FIRST;
-        raft->reads = memory_resize(raft->reads, raft->read_room * sizeof(*raft->reads));
+    if (raft->read_count == raft->read_capacity) {
+        raft->read_capacity = 2 * raft->read_capacity + RAFT_READS_MIN_CAPACITY;
+        raft->reads = memory_resize(raft->reads, raft->read_capacity * sizeof(*raft->reads));
     }
     raft->round_due = true;
     struct raft_pending_read read = {.id = read_id, .round = raft->round + 1, .index = raft->commit};
@@ -229,8 +226,8 @@
     }
 }
 
-/* A leader that is no longer a voter hands over once its removal commits. */
-static void raft_leave_if_removed(struct raft *raft, uint64_t now_ms)
+/* A leader that is no longer a voter steps down once its removal is committed. */
+static void raft_step_down_if_removed(struct raft *raft, uint64_t now_ms)
 {
     bool committed = raft->members_index <= raft->commit;
     if (raft->role == RAFT_LEADER && committed && !raft_is_voter(&raft->members, raft->config.node)) {
@@ -240,14 +237,14 @@
 
 void raft_advance_commit(struct raft *raft, uint64_t now_ms)
 {
-    uint64_t reached = raft_quorum_value(raft, raft_match_of);
-    /* Only entries of the leader's own term commit by counting. */
-    if (reached <= raft->commit || raft_term_at(raft, reached) != raft->term) {
+    uint64_t replicated = raft_quorum_value(raft, raft_match_of);
+    /* Only entries of the leader's own term are committed by counting replicas. */
+    if (replicated <= raft->commit || raft_term_at(raft, replicated) != raft->term) {
         return;
     }
-    raft->commit = reached;
+    raft->commit = replicated;
     raft_apply_committed(raft);
-    raft_leave_if_removed(raft, now_ms);
+    raft_step_down_if_removed(raft, now_ms);
 }
 
 static void raft_continue_transfer(struct raft *raft, const struct raft_progress *progress)
@@ -268,8 +265,8 @@
     return raft->role == RAFT_LEADER && position >= 0 ? &raft->progress[position] : NULL;
 }
 
-/* Entries up to `index` are synced at a member. */
-static void raft_note_match(const struct raft *raft, struct raft_progress *progress, uint64_t index)
+/* Records that entries up to `index` are durable at a member. */
+static void raft_advance_match(const struct raft *raft, struct raft_progress *progress, uint64_t index)
 {
     for (uint64_t i = progress->match + 1; i <= index && progress->inflight_bytes > 0; i++) {
         const struct raft_entry *entry = raft_log_get(&raft->log, i);
@@ -283,9 +280,9 @@
     }
 }
 
-/* The last entry that may be the follower's too, which holds one of `term` at `hint` and none of a later one before:
- * each refusal passes over a term of either log. Term 0 is not known. */
-static uint64_t raft_last_common(const struct raft *raft, uint64_t hint, uint64_t term)
+/* Last entry that the follower's log may share. The follower has an entry of `term` at `hint`, and none of a later term
+ * before it, so each rejection skips at least one term of either log. `term` 0: unknown. */
+static uint64_t raft_last_possible_match(const struct raft *raft, uint64_t hint, uint64_t term)
 {
     uint64_t last = raft_last_index(raft);
     uint64_t index = hint < last ? hint : last;
@@ -301,7 +298,7 @@
     if (progress == NULL) {
         return;
     }
-    progress->last_heard_ms = now_ms;
+    progress->last_contact_ms = now_ms;
     if (message->context > progress->acked_round) {
         progress->acked_round = message->context;
         raft_release_reads(raft);
@@ -310,11 +307,11 @@
         return;
     }
     if (message->reject) {
-        /* A rejection of something already acknowledged is an old message. */
+        /* Outdated reply: the rejected index was acknowledged since. */
         if (message->index <= progress->match) {
             return;
         }
-        uint64_t next = raft_last_common(raft, message->hint, message->log_term) + 1;
+        uint64_t next = raft_last_possible_match(raft, message->hint, message->log_term) + 1;
         progress->next = next > progress->match ? next : progress->match + 1;
         progress->probing = true;
         progress->inflight_bytes = 0;
@@ -324,7 +321,7 @@
     if (message->index > raft_last_index(raft)) {
         return;
     }
-    raft_note_match(raft, progress, message->index);
+    raft_advance_match(raft, progress, message->index);
     progress->probing = false;
     raft_advance_commit(raft, now_ms);
     if (raft->role != RAFT_LEADER) {
@@ -345,8 +342,8 @@
     raft_reset_election_timer(raft, now_ms);
 }
 
-/* The last entry that may be the leader's too: below the refused one, and of no later term than the leader has there.
- * What is committed is. */
+/* Last entry that the leader's log may share: before the rejected index, and of no later term than the leader's entry
+ * there. Committed entries are always shared. */
 static uint64_t raft_conflict_hint(const struct raft *raft, const RaftMessage *message)
 {
     uint64_t last = raft_last_index(raft);
@@ -358,7 +355,7 @@
     return index;
 }
 
-/* Returns the index up to which it has what the message holds: a log that is full takes no more. */
+/* Returns the index up to which the log now matches the message; a full log refuses the rest. */
 static uint64_t raft_store_entries(struct raft *raft, const RaftMessage *message)
 {
     for (pb_size_t i = 0; i < message->entries_count; i++) {
@@ -382,7 +379,7 @@
             .data = (uint8_t *)(uintptr_t)wire->data.data,
             .length = wire->data.length,
         };
-        raft_adopt_entry(raft, &entry);
+        raft_append_in_memory(raft, &entry);
         raft->io.append(raft->io.context, raft->config.group, &entry);
     }
     return message->index + message->entries_count;
@@ -405,9 +402,9 @@
     reply.type = RAFT_APPEND_REPLY;
     reply.term = raft->term;
     reply.context = message->context;
-    bool known = message->index < raft->log.base_index ||
-                 (message->index <= raft_last_index(raft) && raft_term_at(raft, message->index) == message->log_term);
-    if (!known || !raft_entries_are_contiguous(message)) {
+    bool matches = message->index < raft->log.base_index ||
+                   (message->index <= raft_last_index(raft) && raft_term_at(raft, message->index) == message->log_term);
+    if (!matches || !raft_entries_are_contiguous(message)) {
         reply.reject = true;
         reply.index = message->index;
         reply.hint = raft_conflict_hint(raft, message);
@@ -424,8 +421,8 @@
         raft->commit = commit;
         raft_apply_committed(raft);
     }
-    if (raft_commit_is_settled(raft, message->commit) && raft->applied >= message->commit) {
-        raft->current_ms = now_ms;
+    if (raft_commit_is_in_term(raft, message->commit) && raft->applied >= message->commit) {
+        raft->caught_up_ms = now_ms;
     }
     reply.index = matched;
     raft->io.send(raft->io.context, raft->config.group, from, &reply, true);
--- a/src/core/raft_snapshot.c
+++ b/src/core/raft_snapshot.c
@@ -1,4 +1,4 @@
-/* Snapshots for followers that lack entries which the log has dropped: sent and received in chunks. */
+/* Chunked snapshot transfer to followers that need entries which the log no longer contains. */
 #include "core/raft_internal.h"
 
 #include <string.h>
@@ -8,7 +8,7 @@
 bool raft_is_sending_snapshot(const struct raft *raft, uint64_t now_ms)
 {
     for (uint32_t i = 0; raft->role == RAFT_LEADER && i < raft->members.count; i++) {
-        if (raft->progress[i].snapshot_active && raft_hears_member(raft, i, now_ms)) {
+        if (raft->progress[i].snapshot_active && raft_member_is_active(raft, i, now_ms)) {
             return true;
         }
     }
@@ -18,28 +18,28 @@
 void raft_end_snapshot(struct raft_progress *progress)
 {
     progress->snapshot_active = false;
-    buffer_close(&progress->snapshot_bytes);
+    buffer_close(&progress->snapshot_buffer);
 }
 
-/* Reads ahead until a chunk is full; false: the snapshot is not there any more. */
+/* Returns false if the snapshot cannot be read. */
 static bool raft_fill_chunk(const struct raft *raft, struct raft_progress *progress)
 {
-    while (!progress->snapshot_read && progress->snapshot_bytes.length < RAFT_SNAPSHOT_CHUNK) {
-        size_t before = progress->snapshot_bytes.length;
+    while (!progress->snapshot_read_done && progress->snapshot_buffer.length < RAFT_SNAPSHOT_CHUNK_BYTES) {
+        size_t before = progress->snapshot_buffer.length;
         bool read = raft->io.read_snapshot(raft->io.context, raft->config.group, progress->snapshot.index,
-                                           &progress->snapshot_at, &progress->snapshot_bytes);
+                                           &progress->snapshot_read_offset, &progress->snapshot_buffer);
         if (!read) {
             return false;
         }
-        progress->snapshot_read = progress->snapshot_bytes.length == before;
+        progress->snapshot_read_done = progress->snapshot_buffer.length == before;
     }
     return true;
 }
 
 static void raft_send_chunk(struct raft *raft, uint64_t now_ms, struct raft_progress *progress)
 {
-    size_t held = progress->snapshot_bytes.length;
-    size_t size = held < RAFT_SNAPSHOT_CHUNK ? held : RAFT_SNAPSHOT_CHUNK;
+    size_t buffered = progress->snapshot_buffer.length;
+    size_t size = buffered < RAFT_SNAPSHOT_CHUNK_BYTES ? buffered : RAFT_SNAPSHOT_CHUNK_BYTES;
     Member items[RAFT_MAX_MEMBERS];
     RaftMessage message = {0};
     message.type = RAFT_SNAPSHOT;
@@ -47,24 +47,24 @@
     message.index = progress->snapshot.index;
     message.log_term = progress->snapshot.term;
     message.offset = progress->snapshot_offset;
-    message.data = view_of(progress->snapshot_bytes.data, size);
-    message.last_chunk = progress->snapshot_read && size == held;
+    message.data = view_of(progress->snapshot_buffer.data, size);
+    message.last_chunk = progress->snapshot_read_done && size == buffered;
     message.has_members = true;
     raft_members_to_wire(&progress->snapshot.members, items, &message.members);
-    progress->snapshot_sent = size;
+    progress->snapshot_inflight_bytes = size;
     progress->snapshot_sent_ms = now_ms;
     raft->io.send(raft->io.context, raft->config.group, progress->node, &message, false);
 }
 
-/* Goes back to the begin of the stored snapshot; false: it cannot be read now. */
+/* Restarts the transfer with the latest stored snapshot; returns false if it cannot be read. */
 static bool raft_rewind_snapshot(const struct raft *raft, struct raft_progress *progress)
 {
-    buffer_clear(&progress->snapshot_bytes);
+    buffer_clear(&progress->snapshot_buffer);
     progress->snapshot = raft->snapshot;
-    progress->snapshot_at = 0;
-    progress->snapshot_read = false;
+    progress->snapshot_read_offset = 0;
+    progress->snapshot_read_done = false;
     progress->snapshot_offset = 0;
-    progress->snapshot_sent = 0;
+    progress->snapshot_inflight_bytes = 0;
     progress->snapshot_active = raft_fill_chunk(raft, progress);
     return progress->snapshot_active;
 }
@@ -76,17 +76,16 @@
     }
 }
 
-/* A chunk that was lost is sent again after an election timeout. */
-void raft_continue_snapshot(struct raft *raft, uint64_t now_ms, struct raft_progress *progress)
+void raft_retry_snapshot_chunk(struct raft *raft, uint64_t now_ms, struct raft_progress *progress)
 {
     if (now_ms >= progress->snapshot_sent_ms + raft->config.election_timeout_ms) {
         raft_send_chunk(raft, now_ms, progress);
     }
 }
 
-/* The follower has the whole snapshot, or refuses it: entries are tried again. */
-static void raft_snapshot_taken(struct raft *raft, uint64_t now_ms, struct raft_progress *progress,
-                                const RaftMessage *message)
+/* Resumes sending entries after the follower installed or rejected the snapshot. */
+static void raft_finish_snapshot(struct raft *raft, uint64_t now_ms, struct raft_progress *progress,
+                                 const RaftMessage *message)
 {
     raft_end_snapshot(progress);
     if (!message->reject) {
@@ -107,25 +106,26 @@
     if (progress == NULL) {
         return;
     }
-    progress->last_heard_ms = now_ms;
+    progress->last_contact_ms = now_ms;
     if (!progress->snapshot_active || message->index != progress->snapshot.index) {
         return;
     }
     if (message->last_chunk) {
-        raft_snapshot_taken(raft, now_ms, progress, message);
+        raft_finish_snapshot(raft, now_ms, progress, message);
         return;
     }
-    bool lost_all = message->offset == 0 && progress->snapshot_offset > 0;
-    if (lost_all) {
-        /* It has started anew, or its disk takes no more: not again at once. */
+    bool restarted = message->offset == 0 && progress->snapshot_offset > 0;
+    if (restarted) {
+        /* The follower restarted or cannot write: send again only after an election timeout. */
         raft_rewind_snapshot(raft, progress);
         progress->snapshot_sent_ms = now_ms;
         return;
     }
-    if (message->offset != progress->snapshot_offset + progress->snapshot_sent || progress->snapshot_sent == 0) {
+    if (message->offset != progress->snapshot_offset + progress->snapshot_inflight_bytes ||
+        progress->snapshot_inflight_bytes == 0) {
         return;
     }
-    buffer_consume(&progress->snapshot_bytes, progress->snapshot_sent);
+    buffer_consume(&progress->snapshot_buffer, progress->snapshot_inflight_bytes);
     progress->snapshot_offset = message->offset;
     if (raft_fill_chunk(raft, progress)) {
         raft_send_chunk(raft, now_ms, progress);
@@ -136,8 +136,8 @@
 
 /* ---- Follower ------------------------------------------------------------ */
 
-/* Takes the chunk if it is the next one. */
-static bool raft_take_chunk(struct raft *raft, const RaftMessage *message)
+/* Returns false if the chunk is not the next one or the host refuses it. */
+static bool raft_receive_chunk(struct raft *raft, const RaftMessage *message)
 {
     struct raft_snapshot *incoming = &raft->incoming;
     bool restart = message->offset == 0 || incoming->index != message->index || incoming->term != message->log_term;
@@ -151,16 +151,16 @@
     if (!next) {
         return false;
     }
-    bool taken = raft->io.take_snapshot(raft->io.context, raft->config.group, incoming, message->data,
-                                        message->offset == 0, message->last_chunk);
-    raft->incoming_offset = taken ? raft->incoming_offset + message->data.length : 0;
-    return taken;
+    bool received = raft->io.receive_snapshot(raft->io.context, raft->config.group, incoming, message->data,
+                                              message->offset == 0, message->last_chunk);
+    raft->incoming_offset = received ? raft->incoming_offset + message->data.length : 0;
+    return received;
 }
 
-/* Entries behind the snapshot that follow from it stay: they were acknowledged, and may be committed. */
-static void raft_install(struct raft *raft, const struct raft_snapshot *snapshot)
+/* Keeps the entries after the snapshot if they extend it: they were acknowledged and may be committed. */
+static void raft_install_snapshot(struct raft *raft, const struct raft_snapshot *snapshot)
 {
-    if (!raft_holds(raft, snapshot)) {
+    if (!raft_log_matches_snapshot(raft, snapshot)) {
         raft_restore_snapshot(raft, snapshot->index, snapshot->term, &snapshot->members);
         return;
     }
@@ -190,13 +190,13 @@
     if (message->index <= raft->commit) {
         reply.last_chunk = true;
     } else {
-        bool taken = raft_take_chunk(raft, message);
-        reply.last_chunk = taken && message->last_chunk;
+        bool received = raft_receive_chunk(raft, message);
+        reply.last_chunk = received && message->last_chunk;
         reply.offset = raft->incoming_offset;
     }
     if (reply.last_chunk && message->index > raft->commit) {
         struct raft_snapshot installed = raft->incoming;
-        raft_install(raft, &installed);
+        raft_install_snapshot(raft, &installed);
         memset(&raft->incoming, 0, sizeof(raft->incoming));
         raft->incoming_offset = 0;
     }
--- a/src/core/reach.c
+++ b/src/core/reach.c
@@ -1,89 +1,90 @@
 #include "core/reach.h"
 
-static uint64_t reach_borne_ms(const reach_t *reach)
+static uint64_t reach_silence_limit_ms(const reach_t *reach)
 {
-    uint64_t usual_ms = reach->usual_ms + (uint64_t)REACH_SPREADS * reach->spread_ms;
-    uint64_t least_ms = usual_ms > REACH_SILENT_MS ? usual_ms : REACH_SILENT_MS;
-    return least_ms << reach->steps;
+    uint64_t expected_ms = reach->mean_ms + (uint64_t)REACH_DEVIATION_FACTOR * reach->deviation_ms;
+    uint64_t limit_ms = expected_ms > REACH_MIN_SILENCE_MS ? expected_ms : REACH_MIN_SILENCE_MS;
+    return limit_ms << reach->backoff;
 }
 
-bool reach_is_due(const reach_t *reach, uint64_t now_ms, bool busy, uint64_t heard_ms)
+bool reach_probe_is_due(const reach_t *reach, uint64_t now_ms, bool busy, uint64_t last_activity_ms)
 {
-    if (reach->dialling) {
+    if (reach->probing) {
         return false;
     }
-    if (reach->cut_off) {
-        return now_ms >= reach->dialled_ms + REACH_AGAIN_MS;
+    if (reach->confirmed) {
+        return now_ms >= reach->probed_ms + REACH_RETRY_MS;
     }
     if (reach->failures > 0) {
         return true;
     }
-    return busy && now_ms >= heard_ms + reach_borne_ms(reach);
+    return busy && now_ms >= last_activity_ms + reach_silence_limit_ms(reach);
 }
 
-void reach_note_dial(reach_t *reach)
+void reach_record_probe_start(reach_t *reach)
 {
-    reach->dialling = true;
+    reach->probing = true;
 }
 
-static reach_change_t reach_regain(reach_t *reach)
+static reach_change_t reach_recover(reach_t *reach)
 {
-    bool lost = reach->lost;
-    reach->lost = false;
-    reach->cut_off = false;
-    reach->silent_open = false;
+    bool was_unreachable = reach->unreachable;
+    reach->unreachable = false;
+    reach->confirmed = false;
+    reach->peer_silent = false;
     reach->failures = 0;
-    return lost ? REACH_REGAINED : REACH_AS_BEFORE;
+    return was_unreachable ? REACH_RECOVERED : REACH_UNCHANGED;
 }
 
-reach_change_t reach_note_outcome(reach_t *reach, uint64_t now_ms, bool answered)
+reach_change_t reach_record_outcome(reach_t *reach, uint64_t now_ms, bool answered)
 {
-    reach->dialling = false;
-    reach->dialled_ms = now_ms;
+    reach->probing = false;
+    reach->probed_ms = now_ms;
     if (answered) {
-        reach->steps += reach->steps < REACH_STEPS_MAX ? 1 : 0;
-        return reach_regain(reach);
+        reach->backoff += reach->backoff < REACH_BACKOFF_MAX ? 1 : 0;
+        return reach_recover(reach);
     }
     reach->failures++;
-    if (!reach->lost && reach->failures >= REACH_DIALS) {
-        reach->lost = true;
-        return REACH_LOST;
+    if (!reach->unreachable && reach->failures >= REACH_UNREACHABLE_PROBES) {
+        reach->unreachable = true;
+        return REACH_UNREACHABLE;
     }
-    if (!reach->cut_off && reach->failures >= REACH_DIALS_SURE) {
-        reach->cut_off = true;
-        return reach->silent_open ? REACH_GONE : REACH_CUT_OFF;
+    if (!reach->confirmed && reach->failures >= REACH_CONFIRMED_PROBES) {
+        reach->confirmed = true;
+        return reach->peer_silent ? REACH_DEAD : REACH_CONFIRMED_UNREACHABLE;
     }
-    return REACH_AS_BEFORE;
+    return REACH_UNCHANGED;
 }
 
-reach_change_t reach_note_silent_open(reach_t *reach)
+reach_change_t reach_record_peer_silent(reach_t *reach)
 {
-    bool known = reach->silent_open;
-    reach->silent_open = true;
-    return reach->cut_off && !known ? REACH_GONE : REACH_AS_BEFORE;
+    bool was_silent = reach->peer_silent;
+    reach->peer_silent = true;
+    return reach->confirmed && !was_silent ? REACH_DEAD : REACH_UNCHANGED;
 }
 
-bool reach_is_gone(const reach_t *reach)
+bool reach_is_dead(const reach_t *reach)
 {
-    return reach->cut_off && reach->silent_open;
+    return reach->confirmed && reach->peer_silent;
 }
 
-void reach_note_answer(reach_t *reach, uint64_t after_ms)
+void reach_record_response(reach_t *reach, uint64_t response_ms)
 {
-    int64_t sample_ms = after_ms < UINT32_MAX / 2 ? (int64_t)after_ms : UINT32_MAX / 2;
-    int64_t off_ms = sample_ms - reach->usual_ms;
-    int64_t distance_ms = off_ms < 0 ? -off_ms : off_ms;
-    if (reach->usual_ms == 0) {
-        reach->usual_ms = (uint32_t)sample_ms;
-        reach->spread_ms = (uint32_t)sample_ms / 2;
+    int64_t sample_ms = response_ms < UINT32_MAX / 2 ? (int64_t)response_ms : UINT32_MAX / 2;
+    int64_t error_ms = sample_ms - reach->mean_ms;
+    int64_t absolute_error_ms = error_ms < 0 ? -error_ms : error_ms;
+    if (reach->mean_ms == 0) {
+        reach->mean_ms = (uint32_t)sample_ms;
+        reach->deviation_ms = (uint32_t)sample_ms / 2;
         return;
     }
-    reach->usual_ms = (uint32_t)(reach->usual_ms + off_ms / REACH_MEAN_SHARE);
-    reach->spread_ms = (uint32_t)(reach->spread_ms + (distance_ms - reach->spread_ms) / REACH_SPREAD_SHARE);
+    reach->mean_ms = (uint32_t)(reach->mean_ms + error_ms / REACH_MEAN_DIVISOR);
+    reach->deviation_ms =
+        (uint32_t)(reach->deviation_ms + (absolute_error_ms - reach->deviation_ms) / REACH_DEVIATION_DIVISOR);
 }
 
-reach_change_t reach_note_heard(reach_t *reach)
+reach_change_t reach_record_received(reach_t *reach)
 {
-    reach->steps = 0;
-    return reach_regain(reach);
+    reach->backoff = 0;
+    return reach_recover(reach);
 }
--- a/src/core/replica.c
+++ b/src/core/replica.c
@@ -1,4 +1,4 @@
-/* A state replica: events in, consensus and state machines, effects out. */
+/* Lifecycle of a state replica, callbacks of its consensus groups, and the sync that they share. */
 #include "core/replica.h"
 
 #include <stdlib.h>
@@ -9,7 +9,7 @@
 
 /* ---- Waiters --------------------------------------------------------------- */
 
-/* Makes room behind the last waiter: what was dropped in front is used again, or the block grows. */
+/* Makes room for another waiter: reuses the space of dropped waiters at the front, or grows the block. */
 static void replica_waiters_reserve(struct replica_waiters *waiters)
 {
     size_t dropped = waiters->block == NULL ? 0 : (size_t)(waiters->items - waiters->block);
@@ -32,7 +32,7 @@
     waiters->items[waiters->count++] = *waiter;
 }
 
-/* One is dropped with each entry: what stays isn't moved for it. */
+/* Drops waiters at the front, without moving the others, since it runs for each applied entry. */
 static void replica_waiters_drop(struct replica_waiters *waiters, size_t count)
 {
     if (count == 0) {
@@ -57,11 +57,11 @@
         buffer_close(&encoded);
         return;
     }
-    bool wait = after_sync && replica->dirty;
-    if (wait) {
+    bool deferred = after_sync && replica->dirty;
+    if (deferred) {
         uint32_t header[2] = {to, (uint32_t)encoded.length};
-        buffer_append(&replica->held, header, sizeof(header));
-        buffer_append(&replica->held, encoded.data, encoded.length);
+        buffer_append(&replica->pending_frames, header, sizeof(header));
+        buffer_append(&replica->pending_frames, encoded.data, encoded.length);
     } else if (!replica->failed) {
         replica->io.send(replica->io.context, to, buffer_view(&encoded));
     }
@@ -81,20 +81,20 @@
     replica_send_frame(replica, waiter->from, &frame, false);
 }
 
-static void replica_release_held(struct replica *replica)
+static void replica_send_pending_frames(struct replica *replica)
 {
     size_t position = 0;
-    while (position < replica->held.length) {
+    while (position < replica->pending_frames.length) {
         uint32_t header[2];
-        memcpy(header, replica->held.data + position, sizeof(header));
+        memcpy(header, replica->pending_frames.data + position, sizeof(header));
         position += sizeof(header);
-        replica->io.send(replica->io.context, header[0], view_of(replica->held.data + position, header[1]));
+        replica->io.send(replica->io.context, header[0], view_of(replica->pending_frames.data + position, header[1]));
         position += header[1];
     }
-    buffer_reuse(&replica->held, REPLICA_HELD_KEPT);
+    buffer_clear_and_trim(&replica->pending_frames, REPLICA_KEPT_BUFFER_BYTES);
 }
 
-/* ---- Effects of the consensus groups ------------------------------------------ */
+/* ---- Callbacks of the consensus groups ----------------------------------------- */
 
 static void replica_on_save_state(void *context, uint32_t group, uint64_t term, uint32_t vote)
 {
@@ -122,8 +122,8 @@
     replica_send_frame(replica, to, &frame, after_sync);
 }
 
-/* Answers the proposals that an applied entry decides: its own, and those
- * before it whose entries were replaced by another leader's. */
+/* Answers the proposals that an applied entry decides: the one that created it, and earlier ones whose entries another
+ * leader replaced. */
 static void replica_answer_proposals(struct replica *replica, uint32_t group, const struct raft_entry *entry,
                                      struct view result)
 {
@@ -131,9 +131,10 @@
     size_t done = 0;
     while (done < waiters->count && waiters->items[done].key <= entry->index) {
         const struct replica_waiter *waiter = &waiters->items[done];
-        bool own = waiter->key == entry->index && waiter->term == entry->term;
+        bool is_own = waiter->key == entry->index && waiter->term == entry->term;
         if (waiter->from != RAFT_NO_NODE) {
-            replica_reply(replica, group, waiter, own ? RESULT_OK : RESULT_NOT_LEADER, own ? result : view_of(NULL, 0));
+            replica_reply(replica, group, waiter, is_own ? RESULT_OK : RESULT_NOT_LEADER,
+                          is_own ? result : view_of(NULL, 0));
         }
         done++;
     }
@@ -191,13 +192,13 @@
     if (raft_is_leader(&state->raft)) {
         state->expire_pending = false;
         if (group == STATE_CONFIG_GROUP) {
-            /* Requests to join of an earlier leadership may name identities that are gone. */
+            /* Join requests from an earlier leadership may contain node ids that are no longer in use. */
             memset(replica->joins, 0, sizeof(replica->joins));
             replica_renew_all_leases(replica);
         }
         return;
     }
-    /* The outcome is the next leader's to tell; the senders ask there again. */
+    /* Only the next leader knows the outcome of these proposals; the senders retry there. */
     for (size_t i = 0; i < state->proposals.count; i++) {
         if (state->proposals.items[i].from != RAFT_NO_NODE) {
             replica_reply(replica, group, &state->proposals.items[i], RESULT_NOT_LEADER, view_of(NULL, 0));
@@ -226,7 +227,7 @@
         .apply = replica_on_apply,
         .read_ready = replica_on_read_ready,
         .read_snapshot = replica_read_snapshot,
-        .take_snapshot = replica_take_snapshot,
+        .receive_snapshot = replica_receive_snapshot,
         .role_changed = replica_on_role_changed,
     };
     for (uint32_t group = 0; group < config->groups; group++) {
@@ -235,14 +236,14 @@
             .group = group,
             .election_timeout_ms = config->election_timeout_ms,
             .heartbeat_ms = config->heartbeat_ms,
-            .first_election_ms = config->first_election_ms,
+            .short_election_timeout_ms = config->short_election_timeout_ms,
             .seed = config->seed,
-            .log_bytes_most = config->log_bytes_most,
+            .max_log_bytes = config->max_log_bytes,
         };
         struct replica_group *state = &replica->groups[group];
         state->history = *history;
-        struct history_io deferred = replica_group_history(state);
-        state_machine_init(&state->machine, group, &deferred);
+        struct history_io group_history = replica_group_history(state);
+        state_machine_init(&state->machine, group, &group_history);
         raft_init(&replica->groups[group].raft, &raft_config, &raft_io, &config->members);
     }
 }
@@ -254,14 +255,14 @@
         raft_close(&state->raft);
         state_machine_close(&state->machine);
         state_reader_close(&state->reader);
-        buffer_close(&state->dropped);
+        buffer_close(&state->released);
         replica_waiters_drop(&state->proposals, state->proposals.count);
         replica_waiters_drop(&state->reads, state->reads.count);
         free(state->proposals.block);
         free(state->reads.block);
     }
     free(replica->groups);
-    buffer_close(&replica->held);
+    buffer_close(&replica->pending_frames);
 }
 
 void replica_start(struct replica *replica, uint64_t now_ms)
@@ -273,8 +274,8 @@
     replica_flush(replica, now_ms);
 }
 
-/* What waits for a blocked disk stays held: votes and acknowledgements go out
- * only once it took them. A leader goes on by the disks of the others. */
+/* While the disk is blocked, votes and acknowledgements stay in `pending_frames`: they are sent only once durable. A
+ * leader continues to commit through the disks of the other members. */
 static bool replica_sync(struct replica *replica)
 {
     if (replica->now_ms < replica->blocked_until_ms) {
@@ -286,20 +287,20 @@
     case REPLICA_SYNC_DONE: replica->blocked_until_ms = 0; return true;
     case REPLICA_SYNC_BLOCKED:
         replica->dirty = true;
-        replica->blocked_until_ms = replica->now_ms + REPLICA_BLOCKED_MS;
+        replica->blocked_until_ms = replica->now_ms + REPLICA_SYNC_RETRY_MS;
         return false;
     default: replica->failed = true; return false;
     }
 }
 
-/* Entries are on their way to the others while the own disk takes them. */
+/* Sends entries before the sync, so that the other members write them in parallel with the local disk. */
 static void replica_send_entries(struct replica *replica)
 {
     for (uint32_t group = 0; group < replica->config.groups; group++) {
         raft_flush(&replica->groups[group].raft, replica->now_ms);
     }
-    if (replica->dirty && replica->io.push != NULL) {
-        replica->io.push(replica->io.context);
+    if (replica->dirty && replica->io.flush_output != NULL) {
+        replica->io.flush_output(replica->io.context);
     }
 }
 
@@ -311,13 +312,13 @@
         if (!replica_sync(replica)) {
             break;
         }
-        replica_release_held(replica);
+        replica_send_pending_frames(replica);
         for (uint32_t group = 0; group < replica->config.groups; group++) {
             raft_synced(&replica->groups[group].raft, now_ms);
         }
     }
     if (replica->failed) {
-        buffer_clear(&replica->held);
+        buffer_clear(&replica->pending_frames);
         return;
     }
     for (uint32_t group = 0; group < replica->config.groups && !replica->dirty; group++) {
@@ -325,20 +326,20 @@
     }
 }
 
-void replica_peer_lost(struct replica *replica, uint64_t now_ms, uint32_t node)
+void replica_peer_disconnected(struct replica *replica, uint64_t now_ms, uint32_t node)
 {
     replica->now_ms = now_ms;
     for (uint32_t group = 0; group < replica->config.groups; group++) {
-        raft_peer_lost(&replica->groups[group].raft, now_ms, node);
+        raft_peer_disconnected(&replica->groups[group].raft, now_ms, node);
     }
 }
 
-/* A leader whose disk takes nothing goes on by the disks of the others, as long as its log has room. */
-static void replica_leave_full_log(struct replica *replica, uint32_t group)
+/* A leader with a blocked disk continues until its log in memory is full; then it transfers the leadership. */
+static void replica_transfer_if_log_full(struct replica *replica, uint32_t group)
 {
     struct raft *raft = &replica->groups[group].raft;
-    bool stuck = replica->blocked_until_ms != 0 && raft_log_is_full(raft);
-    if (!stuck || !raft_is_leader(raft) || raft->transfer_target != RAFT_NO_NODE) {
+    bool blocked_and_full = replica->blocked_until_ms != 0 && raft_log_is_full(raft);
+    if (!blocked_and_full || !raft_is_leader(raft) || raft->transfer_target != RAFT_NO_NODE) {
         return;
     }
     uint32_t successor = replica_best_successor(replica, raft);
@@ -355,7 +356,7 @@
     }
     for (uint32_t group = 0; group < replica->config.groups; group++) {
         raft_tick(&replica->groups[group].raft, now_ms);
-        replica_leave_full_log(replica, group);
+        replica_transfer_if_log_full(replica, group);
     }
     replica_maintain(replica);
 }
@@ -367,7 +368,7 @@
     for (uint32_t i = 0; i < raft->members.count; i++) {
         const struct raft_progress *progress = &raft->progress[i];
         bool candidate = !raft->members.learners[i] && progress->node != replica->config.node &&
-                         raft_hears_member(raft, i, replica->now_ms);
+                         raft_member_is_active(raft, i, replica->now_ms);
         if (candidate && (best == RAFT_NO_NODE || progress->match > match)) {
             best = progress->node;
             match = progress->match;
@@ -378,7 +379,7 @@
 
 bool replica_transfer_all(struct replica *replica, uint64_t now_ms)
 {
-    bool possible = false;
+    bool has_successor = false;
     replica->now_ms = now_ms;
     for (uint32_t group = 0; group < replica->config.groups; group++) {
         struct raft *raft = &replica->groups[group].raft;
@@ -386,10 +387,10 @@
         if (successor == RAFT_NO_NODE) {
             continue;
         }
-        possible = true;
+        has_successor = true;
         if (raft->transfer_target == RAFT_NO_NODE) {
             raft_transfer(raft, now_ms, successor);
         }
     }
-    return possible;
+    return has_successor;
 }
--- a/src/core/replica_maintenance.c
+++ b/src/core/replica_maintenance.c
@@ -1,7 +1,7 @@
-/* Periodic duties of leaders: leases, expiry of programs, placement of leaders. */
+/* Periodic tasks of leaders: leases, program expiry and leader placement. */
 #include "core/replica_internal.h"
 
-enum { REPLICA_LEASE_GRACE = 2 /* a lease is expired after this many lease times of silence */ };
+enum { REPLICA_LEASE_EXPIRY_PERIODS = 2 /* lease periods without a heartbeat after which a lease expires */ };
 
 static struct replica_group *replica_config_group(struct replica *replica)
 {
@@ -10,12 +10,12 @@
 
 /* ---- Leases -------------------------------------------------------------------- */
 
-/* A new leader has heard nobody yet and gives everyone a full period. */
+/* A new leader has received no heartbeats yet, so it grants every lease a full period. */
 void replica_renew_all_leases(struct replica *replica)
 {
     struct lease *lease = replica_config_group(replica)->machine.leases.leases;
     for (; lease != NULL; lease = lease->hh.next) {
-        lease->last_heard_ms = replica->now_ms;
+        lease->last_heartbeat_ms = replica->now_ms;
         lease->revision = 0;
     }
 }
@@ -24,13 +24,13 @@
                                          uint64_t sent_ms)
 {
     struct replica_group *state = replica_config_group(replica);
-    bool leads = raft_is_leader(&state->raft) && raft_term_at(&state->raft, state->raft.commit) == state->raft.term;
+    bool can_grant = raft_is_leader(&state->raft) && raft_term_at(&state->raft, state->raft.commit) == state->raft.term;
     Frame frame = {0};
     frame.which_payload = Frame_heartbeat_reply_tag;
     HeartbeatReply *reply = &frame.payload.heartbeat_reply;
     reply->leader = state->raft.leader;
-    reply->lease_ms = leads ? replica->config.lease_ms : 0;
-    reply->revision = leads ? state->machine.config.revision : 0;
+    reply->lease_ms = can_grant ? replica->config.lease_ms : 0;
+    reply->revision = can_grant ? state->machine.config.revision : 0;
     reply->epoch = lease == NULL || lease->expired ? 0 : lease->epoch;
     reply->sent_ms = sent_ms;
     replica_send_frame(replica, to, &frame, false);
@@ -41,7 +41,7 @@
     struct lease *lease = lease_table_find(&replica_config_group(replica)->machine.leases, from);
     bool current = lease != NULL && !lease->expired && lease->epoch == heartbeat->epoch;
     if (current) {
-        lease->last_heard_ms = replica->now_ms;
+        lease->last_heartbeat_ms = replica->now_ms;
         lease->revision = heartbeat->revision;
     }
     replica_send_heartbeat_reply(replica, from, current ? lease : NULL, heartbeat->sent_ms);
@@ -66,9 +66,9 @@
     if (!raft_is_leader(&state->raft)) {
         return;
     }
-    uint64_t grace = (uint64_t)replica->config.lease_ms * REPLICA_LEASE_GRACE;
+    uint64_t expiry_ms = (uint64_t)replica->config.lease_ms * REPLICA_LEASE_EXPIRY_PERIODS;
     for (struct lease *lease = state->machine.leases.leases; lease != NULL; lease = lease->hh.next) {
-        if (lease->expired || replica->now_ms <= lease->last_heard_ms + grace) {
+        if (lease->expired || replica->now_ms <= lease->last_heartbeat_ms + expiry_ms) {
             continue;
         }
         Entry entry = {0};
@@ -77,11 +77,11 @@
         entry.command.gateway_lease.epoch = lease->epoch;
         entry.command.gateway_lease.expire = true;
         replica_propose_entry(replica, STATE_CONFIG_GROUP, &entry);
-        lease->last_heard_ms = replica->now_ms; /* not proposed again at once */
+        lease->last_heartbeat_ms = replica->now_ms; /* so that the next check does not propose it again */
     }
 }
 
-/* ---- Expiry of programs ---------------------------------------------------------- */
+/* ---- Program expiry --------------------------------------------------------------- */
 
 static void replica_expire_programs(struct replica *replica, uint32_t group)
 {
@@ -99,9 +99,9 @@
     state->expire_pending = replica_propose_entry(replica, group, &entry);
 }
 
-/* ---- Placement of leaders ---------------------------------------------------------- */
+/* ---- Leader placement --------------------------------------------------------------- */
 
-/* Group g prefers the g-th voter, so that leaderships spread evenly. */
+/* Group g prefers voter g modulo the number of voters, which spreads the leaders evenly. */
 static uint32_t replica_preferred_leader(const struct raft *raft)
 {
     uint32_t voters[RAFT_MAX_MEMBERS];
@@ -114,7 +114,7 @@
     return count == 0 ? RAFT_NO_NODE : voters[raft->config.group % count];
 }
 
-static void replica_balance(struct replica *replica, uint32_t group)
+static void replica_place_leader(struct replica *replica, uint32_t group)
 {
     struct raft *raft = &replica->groups[group].raft;
     uint32_t preferred = replica_preferred_leader(raft);
@@ -131,17 +131,17 @@
     if (replica->now_ms >= replica->maintenance_due_ms) {
         replica->maintenance_due_ms = replica->now_ms + REPLICA_MAINTENANCE_MS;
         replica_expire_leases(replica);
-        if (replica->config.self_organized) {
-            replica_organize(replica);
+        if (replica->config.auto_membership) {
+            replica_update_members(replica);
         }
         for (uint32_t group = 1; group < replica->config.groups; group++) {
             replica_expire_programs(replica, group);
         }
     }
-    if (!replica->config.self_organized && replica->now_ms >= replica->balance_due_ms) {
-        replica->balance_due_ms = replica->now_ms + REPLICA_BALANCE_MS;
+    if (!replica->config.auto_membership && replica->now_ms >= replica->leader_placement_due_ms) {
+        replica->leader_placement_due_ms = replica->now_ms + REPLICA_LEADER_PLACEMENT_MS;
         for (uint32_t group = 0; group < replica->config.groups; group++) {
-            replica_balance(replica, group);
+            replica_place_leader(replica, group);
         }
     }
 }
--- a/src/core/replica_requests.c
+++ b/src/core/replica_requests.c
@@ -1,4 +1,4 @@
-/* Requests that daemons send to the replica: proposals and reads. */
+/* Handles requests of daemons: proposals, reads and member changes. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -16,7 +16,7 @@
     }
     uint8_t flags = state_machine_flags(&state->machine, leases, entry);
     struct buffer data = {0};
-    state_machine_stamp(replica_stamp_ms(replica, group), flags, entry, &data);
+    state_machine_stamp(replica_timestamp_ms(replica, group), flags, entry, &data);
     uint64_t index = raft_propose(&state->raft, buffer_view(&data));
     buffer_close(&data);
     if (index == 0) {
@@ -33,9 +33,9 @@
 bool replica_propose_entry(struct replica *replica, uint32_t group, const Entry *entry)
 {
     struct buffer encoded = {0};
-    struct replica_waiter nobody = {.from = RAFT_NO_NODE};
+    struct replica_waiter no_sender = {.from = RAFT_NO_NODE};
     bool proposed = message_encode(&encoded, Entry_fields, entry) &&
-                    replica_propose(replica, group, buffer_view(&encoded), &nobody);
+                    replica_propose(replica, group, buffer_view(&encoded), &no_sender);
     buffer_close(&encoded);
     return proposed;
 }
@@ -69,9 +69,9 @@
         view.next_call = program->next_call;
         view.state = program->state;
         view.deadline_ms = program->deadline_ms;
-        view.owner = program->owner;
+        view.owner = program->handover_site;
         view.context_tokens = program->context_tokens;
-        view.owner_epoch = program->owner_epoch;
+        view.owner_epoch = program->handover_epoch;
         bool readable = query->through_call == 0 || ledger_read_history(ledger, program, query->through_call, &history);
         if (!readable) {
             replica_reply(replica, group, waiter, RESULT_UNAVAILABLE, view_of(NULL, 0));
@@ -108,6 +108,7 @@
     replica_reply_message(replica, group, waiter, ReleaseList_fields, &list);
 }
 
+/* Lists the gateways with a lease whose active configuration is older than the given revision. */
 static void replica_answer_lag(struct replica *replica, const struct replica_waiter *waiter, const LagQuery *query)
 {
     const struct state_machine *machine = &replica->groups[STATE_CONFIG_GROUP].machine;
@@ -123,7 +124,7 @@
     free(list.nodes);
 }
 
-/* The part of a read that runs once the replica may answer it. */
+/* Call it only when the read is known to be linearizable or its result cannot change. */
 void replica_answer_read(struct replica *replica, uint32_t group, const struct replica_waiter *waiter)
 {
     struct view body = view_of(waiter->body, waiter->length);
@@ -158,9 +159,9 @@
     }
 }
 
-/* History up to a finished call never changes, so that any replica that has
- * applied the call may answer without a round of heartbeats. */
-static bool replica_read_is_settled(const struct replica *replica, uint32_t group, const Request *request)
+/* The history up to a finished call never changes: any replica that has applied the call may return it without a
+ * heartbeat round. */
+static bool replica_read_is_immutable(const struct replica *replica, uint32_t group, const Request *request)
 {
     if (request->kind != REQUEST_PROGRAM) {
         return false;
@@ -170,16 +171,16 @@
         return false;
     }
     const struct ledger_program *program = ledger_find(&replica->groups[group].machine.ledger, query.id);
-    bool settled = program != NULL && query.through_call > 0 && program->next_call > query.through_call;
+    bool immutable = program != NULL && query.through_call > 0 && program->next_call > query.through_call;
     message_free(ProgramQuery_fields, &query);
-    return settled;
+    return immutable;
 }
 
 static void replica_start_read(struct replica *replica, uint32_t group, const Request *request,
                                struct replica_waiter *waiter)
 {
     struct replica_group *state = &replica->groups[group];
-    waiter->key = ++state->next_read;
+    waiter->key = ++state->last_read_id;
     waiter->body = memory_copy(request->body.data, request->body.length);
     waiter->length = request->body.length;
     replica_waiters_add(&state->reads, waiter);
@@ -190,54 +191,55 @@
     }
 }
 
-/* Applies a change to a list of members; false: it is as wanted already. */
-static bool replica_edit_members(struct raft_members *members, const struct membership_step *change)
+/* Returns false if the change is already done or not possible. */
+static bool replica_edit_members(struct raft_members *members, const struct membership_change *change)
 {
     uint32_t position = 0;
     while (position < members->count && members->nodes[position] != change->node) {
         position++;
     }
-    bool listed = position < members->count;
+    bool is_member = position < members->count;
     switch (change->action) {
     case MEMBER_ADD_LEARNER:
-        if (listed || members->count == RAFT_MAX_MEMBERS) {
+        if (is_member || members->count == RAFT_MAX_MEMBERS) {
             return false;
         }
         members->nodes[members->count] = change->node;
-        members->places[members->count] = change->place;
+        members->locations[members->count] = change->location;
         members->learners[members->count++] = true;
         return true;
     case MEMBER_PROMOTE:
-        if (!listed || !members->learners[position]) {
+        if (!is_member || !members->learners[position]) {
             return false;
         }
         members->learners[position] = false;
         return true;
     case MEMBER_DEMOTE:
-        if (!listed || members->learners[position]) {
+        if (!is_member || members->learners[position]) {
             return false;
         }
         members->learners[position] = true;
         return true;
     case MEMBER_REMOVE:
-        if (!listed) {
+        if (!is_member) {
             return false;
         }
         members->count--;
         members->nodes[position] = members->nodes[members->count];
         members->learners[position] = members->learners[members->count];
-        members->places[position] = members->places[members->count];
+        members->locations[position] = members->locations[members->count];
         return true;
     }
     return false;
 }
 
-/* Whether the leader may propose the change now; it gives its own seat to another first. */
-static bool replica_may_change(struct replica *replica, uint32_t group, const struct membership_step *change)
+/* Whether the leader may propose the change now. A leader that removes or demotes itself first transfers the
+ * leadership. */
+static bool replica_may_change(struct replica *replica, uint32_t group, const struct membership_change *change)
 {
     struct raft *raft = &replica->groups[group].raft;
-    bool leaves = change->action == MEMBER_REMOVE || change->action == MEMBER_DEMOTE;
-    if (leaves && change->node == replica->config.node) {
+    bool loses_vote = change->action == MEMBER_REMOVE || change->action == MEMBER_DEMOTE;
+    if (loses_vote && change->node == replica->config.node) {
         raft_transfer(raft, replica->now_ms, replica_best_successor(replica, raft));
         return false;
     }
@@ -249,8 +251,8 @@
 {
     struct replica_group *state = &replica->groups[group];
     struct raft_members members = state->raft.members;
-    MemberChange wanted = {0};
-    if (!message_decode(request->body, MemberChange_fields, &wanted) || wanted.node == RAFT_NO_NODE) {
+    MemberChange requested = {0};
+    if (!message_decode(request->body, MemberChange_fields, &requested) || requested.node == RAFT_NO_NODE) {
         replica_reply(replica, group, waiter, RESULT_INVALID, view_of(NULL, 0));
         return;
     }
@@ -258,7 +260,7 @@
         replica_reply(replica, group, waiter, RESULT_NOT_LEADER, view_of(NULL, 0));
         return;
     }
-    struct membership_step change = {.wanted = true, .action = wanted.action, .node = wanted.node};
+    struct membership_change change = {.needed = true, .action = requested.action, .node = requested.node};
     bool committed = state->raft.members_index <= state->raft.commit;
     if (!replica_edit_members(&members, &change)) {
         replica_reply(replica, group, waiter, committed ? RESULT_OK : RESULT_ABORTED, view_of(NULL, 0));
@@ -275,15 +277,14 @@
     replica_waiters_add(&state->proposals, waiter);
 }
 
-bool replica_apply_member_step(struct replica *replica, uint32_t group, const struct membership_step *step)
+bool replica_propose_membership_change(struct replica *replica, uint32_t group, const struct membership_change *change)
 {
     struct raft *raft = &replica->groups[group].raft;
     struct raft_members members = raft->members;
-    bool possible = replica_edit_members(&members, step) && replica_may_change(replica, group, step);
+    bool possible = replica_edit_members(&members, change) && replica_may_change(replica, group, change);
     return possible && raft_propose_members(raft, replica->now_ms, &members) != 0;
 }
 
-/* A request that was sent again while its first one waits here is answered once. */
 static bool replica_has_waiter(const struct replica_waiters *waiters, uint32_t from, uint64_t request_id)
 {
     for (size_t i = waiters->count; i > 0; i--) {
@@ -295,7 +296,8 @@
     return false;
 }
 
-static bool replica_is_waiting(const struct replica_group *group, uint32_t from, const Request *request)
+/* A request that is retransmitted while it is still pending is answered once. */
+static bool replica_is_duplicate(const struct replica_group *group, uint32_t from, const Request *request)
 {
     return request->again && (replica_has_waiter(&group->proposals, from, request->id) ||
                               replica_has_waiter(&group->reads, from, request->id));
@@ -304,7 +306,7 @@
 void replica_handle_request(struct replica *replica, uint32_t from, uint32_t group, const Request *request)
 {
     struct replica_waiter waiter = {.from = from, .request_id = request->id, .kind = request->kind};
-    if (replica_is_waiting(&replica->groups[group], from, request)) {
+    if (replica_is_duplicate(&replica->groups[group], from, request)) {
         return;
     }
     if (request->kind == REQUEST_MEMBERS) {
@@ -320,7 +322,7 @@
         }
         return;
     }
-    if (replica_read_is_settled(replica, group, request)) {
+    if (replica_read_is_immutable(replica, group, request)) {
         waiter.body = (char *)(uintptr_t)request->body.data;
         waiter.length = request->body.length;
         replica_answer_read(replica, group, &waiter);
--- a/src/core/replica_site.c
+++ b/src/core/replica_site.c
@@ -1,4 +1,4 @@
-/* A site's requests and reads, and members that come and go by themselves. */
+/* Requests and reads of the site state, and automatic membership. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -7,31 +7,28 @@
 #include "base/message.h"
 #include "core/replica_internal.h"
 
-/* ---- Time --------------------------------------------------------------------- */
+/* ---- Timestamps ---------------------------------------------------------------- */
 
-/*
- * A steady stamp goes on from the latest one that was applied, by this
- * leader's steady clock: neither a jump of the wall clock nor a new leader
- * moves it ahead. Time without a leader does not count.
- */
-uint64_t replica_stamp_ms(struct replica *replica, uint32_t group)
+/* Timestamp of the next entry. A monotonic one continues from the latest applied timestamp by this leader's monotonic
+ * clock, so that neither a wall clock jump nor a new leader moves it ahead. Time without a leader does not count. */
+uint64_t replica_timestamp_ms(struct replica *replica, uint32_t group)
 {
     uint64_t wall_ms = replica->now_ms + replica->wall_offset_ms;
-    if (!replica->config.steady_stamps) {
+    if (!replica->config.monotonic_timestamps) {
         return wall_ms;
     }
     struct replica_group *state = &replica->groups[group];
-    if (state->stamp_term != state->raft.term) {
-        state->stamp_term = state->raft.term;
-        state->stamp_base_ms = state->machine.site.time_ms;
-        state->stamp_since_ms = replica->now_ms;
+    if (state->timestamp_term != state->raft.term) {
+        state->timestamp_term = state->raft.term;
+        state->timestamp_base_ms = state->machine.site.time_ms;
+        state->timestamp_since_ms = replica->now_ms;
     }
-    return state->stamp_base_ms + (replica->now_ms - state->stamp_since_ms);
+    return state->timestamp_base_ms + (replica->now_ms - state->timestamp_since_ms);
 }
 
 bool replica_is_fresh(const struct replica *replica, uint32_t group, uint64_t now_ms)
 {
-    return !replica->failed && raft_is_current(&replica->groups[group].raft, now_ms);
+    return !replica->failed && raft_is_fresh(&replica->groups[group].raft, now_ms);
 }
 
 /* ---- Reads ---------------------------------------------------------------------- */
@@ -41,18 +38,18 @@
     const struct site_state *site = &replica->groups[group].machine.site;
     const struct site_document *document = &site->document;
     DocumentState state = {.version = document->version};
-    DocumentState held = {0};
-    if (!message_decode(view_of(waiter->body, waiter->length), DocumentState_fields, &held)) {
+    DocumentState known = {0};
+    if (!message_decode(view_of(waiter->body, waiter->length), DocumentState_fields, &known)) {
         replica_reply(replica, group, waiter, RESULT_INVALID, view_of(NULL, 0));
         return;
     }
-    if (document->version > held.version) {
+    if (document->version > known.version) {
         state.content = document->content;
     }
-    state.has_drained = site->drained.revision > held.drained.revision;
-    zone_set_tell(&site->drained, &state.drained);
+    state.has_drained = site->drained.revision > known.drained.revision;
+    zone_set_export(&site->drained, &state.drained);
     replica_reply_message(replica, group, waiter, DocumentState_fields, &state);
-    message_free(DocumentState_fields, &held);
+    message_free(DocumentState_fields, &known);
 }
 
 static void replica_answer_turns(struct replica *replica, uint32_t group, const struct replica_waiter *waiter,
@@ -65,7 +62,7 @@
     }
     const struct turn_store *turns = &replica->groups[group].machine.site.turns;
     const struct turn *turn = turn_store_find(turns, query.turn);
-    bool found = turn != NULL && turn_is_of(turn, query.tenant);
+    bool found = turn != NULL && turn_is_visible_to(turn, query.tenant);
     message_free(TurnQuery_fields, &query);
     if (!found) {
         replica_reply(replica, group, waiter, RESULT_NOT_FOUND, view_of(NULL, 0));
@@ -80,19 +77,19 @@
 static bool replica_has_member(const struct raft_members *members, const char *machine)
 {
     for (uint32_t i = 0; i < members->count; i++) {
-        if (text_equal(members->places[i].name, machine)) {
+        if (text_equal(members->locations[i].name, machine)) {
             return true;
         }
     }
     return false;
 }
 
-/* A machine that holds nothing is known by its asking. */
+/* Whether a machine is a member or has asked to join. */
 static bool replica_has_machine(const struct replica *replica, const struct raft_members *members, const char *machine)
 {
     bool known = replica_has_member(members, machine);
     for (size_t i = 0; i < REPLICA_MAX_JOINS && !known; i++) {
-        known = replica->joins[i].node != RAFT_NO_NODE && text_equal(replica->joins[i].place.name, machine);
+        known = replica->joins[i].node != RAFT_NO_NODE && text_equal(replica->joins[i].location.name, machine);
     }
     return known;
 }
@@ -107,11 +104,11 @@
     }
     const struct replica_group *state = &replica->groups[group];
     bool member = replica_has_member(&state->raft.members, query.machine);
-    bool settled = state->raft.members_index <= state->raft.commit;
+    bool committed = state->raft.members_index <= state->raft.commit;
     RetireState answer = {0};
-    answer.started = site_state_is_retired(&state->machine.site, query.machine);
+    answer.started = site_state_is_retiring(&state->machine.site, query.machine);
     answer.known = answer.started || replica_has_machine(replica, &state->raft.members, query.machine);
-    answer.completed = answer.started && !member && settled;
+    answer.completed = answer.started && !member && committed;
     message_free(RetireQuery_fields, &query);
     replica_reply_message(replica, group, waiter, RetireState_fields, &answer);
 }
@@ -130,58 +127,60 @@
 
 /* ---- Members ---------------------------------------------------------------------- */
 
-/* A newcomer was heard when it asked, before it answers anything as a member. */
-static uint64_t replica_heard_ms(const struct replica *replica, const struct raft *raft, uint32_t position)
+/* Join requests count too, since a new member has not replied to the leader yet. */
+static uint64_t replica_last_contact_ms(const struct replica *replica, const struct raft *raft, uint32_t position)
 {
-    uint64_t heard_ms = raft->progress[position].last_heard_ms;
+    uint64_t contact_ms = raft->progress[position].last_contact_ms;
     for (size_t i = 0; i < REPLICA_MAX_JOINS; i++) {
         const struct membership_join *join = &replica->joins[i];
-        bool later = join->node == raft->members.nodes[position] && join->asked_ms > heard_ms;
-        heard_ms = later ? join->asked_ms : heard_ms;
+        bool later = join->node == raft->members.nodes[position] && join->requested_ms > contact_ms;
+        contact_ms = later ? join->requested_ms : contact_ms;
     }
-    return heard_ms;
+    return contact_ms;
 }
 
 static void replica_describe_members(const struct replica *replica, const struct raft *raft,
-                                     struct membership_view *views)
+                                     struct membership_status *statuses)
 {
     const struct site_state *site = &replica->groups[STATE_CONFIG_GROUP].machine.site;
     for (uint32_t i = 0; i < raft->members.count; i++) {
-        const struct raft_member_place *place = &raft->members.places[i];
+        const struct raft_member_location *location = &raft->members.locations[i];
         bool self = raft->members.nodes[i] == replica->config.node;
-        uint64_t heard_ms = replica_heard_ms(replica, raft, i);
-        memset(&views[i], 0, sizeof(views[i]));
-        views[i].leads = self;
-        views[i].silent_ms = self || heard_ms >= replica->now_ms ? 0 : replica->now_ms - heard_ms;
-        views[i].caught_up = self || raft_has_caught_up(raft, raft->members.nodes[i], replica->now_ms);
-        views[i].retiring = site_state_is_retired(site, place->name);
+        uint64_t contact_ms = replica_last_contact_ms(replica, raft, i);
+        memset(&statuses[i], 0, sizeof(statuses[i]));
+        statuses[i].is_leader = self;
+        statuses[i].silent_ms = self || contact_ms >= replica->now_ms ? 0 : replica->now_ms - contact_ms;
+        statuses[i].caught_up = self || raft_has_caught_up(raft, raft->members.nodes[i], replica->now_ms);
+        statuses[i].retiring = site_state_is_retiring(site, location->name);
         for (size_t k = 0; k < REPLICA_MAX_JOINS; k++) {
             const struct membership_join *join = &replica->joins[k];
-            bool other = join->node != RAFT_NO_NODE && join->node != raft->members.nodes[i];
-            bool same_address = place->ip != 0 && join->place.ip == place->ip && join->place.port == place->port;
-            bool same_name = place->name[0] != '\0' && text_equal(join->place.name, place->name);
-            views[i].replaced = views[i].replaced || (other && (same_address || same_name));
+            bool is_other_node = join->node != RAFT_NO_NODE && join->node != raft->members.nodes[i];
+            bool same_address =
+                location->ip != 0 && join->location.ip == location->ip && join->location.port == location->port;
+            bool same_name = location->name[0] != '\0' && text_equal(join->location.name, location->name);
+            statuses[i].replaced = statuses[i].replaced || (is_other_node && (same_address || same_name));
         }
     }
 }
 
-/* A machine that comes back under a new identity replaces its earlier request. */
-static void replica_note_join(struct replica *replica, const Member *member)
+/* Replaces the first entry that is unused or has the same node or address, since a machine may return with a new node
+ * id; else the oldest entry. */
+static void replica_record_join(struct replica *replica, const Member *member)
 {
-    struct membership_join fresh = {.node = member->node, .asked_ms = replica->now_ms};
-    raft_member_place_from_wire(member, &fresh.place);
-    struct membership_join *place = &replica->joins[0];
+    struct membership_join request = {.node = member->node, .requested_ms = replica->now_ms};
+    raft_member_location_from_wire(member, &request.location);
+    struct membership_join *slot = &replica->joins[0];
     for (size_t i = 0; i < REPLICA_MAX_JOINS; i++) {
         struct membership_join *join = &replica->joins[i];
-        bool same_machine =
-            join->node == fresh.node || (join->place.ip == fresh.place.ip && join->place.port == fresh.place.port);
+        bool same_machine = join->node == request.node ||
+                            (join->location.ip == request.location.ip && join->location.port == request.location.port);
         if (join->node == RAFT_NO_NODE || same_machine) {
-            place = join;
+            slot = join;
             break;
         }
-        place = join->asked_ms < place->asked_ms ? join : place;
+        slot = join->requested_ms < slot->requested_ms ? join : slot;
     }
-    *place = fresh;
+    *slot = request;
 }
 
 static void replica_handle_join(struct replica *replica, uint32_t group, const Request *request,
@@ -193,70 +192,68 @@
         replica_reply(replica, group, waiter, RESULT_INVALID, view_of(NULL, 0));
         return;
     }
-    bool retired = site_state_is_retired(&replica->groups[group].machine.site, join.member.name);
+    bool retiring = site_state_is_retiring(&replica->groups[group].machine.site, join.member.name);
     if (!raft_is_leader(raft)) {
         replica_reply(replica, group, waiter, RESULT_NOT_LEADER, view_of(NULL, 0));
-    } else if (retired || !join.has_member || join.member.node == RAFT_NO_NODE) {
+    } else if (retiring || !join.has_member || join.member.node == RAFT_NO_NODE) {
         replica_reply(replica, group, waiter, RESULT_INVALID, view_of(NULL, 0));
     } else {
         Member items[RAFT_MAX_MEMBERS];
         JoinReply reply = {.has_members = true};
-        replica_note_join(replica, &join.member);
-        replica_organize(replica);
+        replica_record_join(replica, &join.member);
+        replica_update_members(replica);
         raft_members_to_wire(&raft->members, items, &reply.members);
         replica_reply_message(replica, group, waiter, JoinReply_fields, &reply);
     }
     message_free(JoinRequest_fields, &join);
 }
 
-/* An encoded Entry holds one field, and begins with its key: most entries need no look inside. */
+/* An encoded Entry has a single field, whose tag is the first byte, so it need not be decoded. */
 static bool replica_entry_is(struct view entry, int tag)
 {
     return entry.length > 0 && entry.data[0] == ((tag << 3) | PB_WT_STRING);
 }
 
-/*
- * Refuses what there is no memory for. A turn's begin is refused first, by a
- * code that its caller passes on at once: nothing has run yet. Everything else
- * finishes what was begun, and is tried again until there is room.
- */
-static bool replica_check_room(struct replica *replica, uint32_t group, const Request *request,
-                               const struct replica_waiter *waiter)
+/* Refuses a proposal at a memory limit; false: refused. A turn that begins is refused at a lower limit and with
+ * RESULT_LIMIT, which its caller gets at once. Other proposals finish work in progress: their senders retry. */
+static bool replica_check_memory(struct replica *replica, uint32_t group, const Request *request,
+                                 const struct replica_waiter *waiter)
 {
     const struct replica_group *state = &replica->groups[group];
     const struct replica_config *config = &replica->config;
-    bool begins = replica_entry_is(request->body, Entry_turn_begin_tag);
+    bool begins_turn = replica_entry_is(request->body, Entry_turn_begin_tag);
     bool log_full =
-        raft_log_is_full(&state->raft) || (begins && state->raft.log.bytes >= replica_log_begin_most(replica));
+        raft_log_is_full(&state->raft) || (begins_turn && state->raft.log.bytes >= replica_turn_log_limit(replica));
     bool state_full =
-        begins && config->state_bytes > 0 && site_state_bytes(&state->machine.site) >= config->state_bytes;
+        begins_turn && config->max_state_bytes > 0 && site_state_bytes(&state->machine.site) >= config->max_state_bytes;
     if (!raft_is_leader(&state->raft) || (!log_full && !state_full)) {
         return true;
     }
     replica->counters.refused++;
-    replica_reply(replica, group, waiter, begins ? RESULT_LIMIT : RESULT_NOT_LEADER, view_of(NULL, 0));
+    replica_reply(replica, group, waiter, begins_turn ? RESULT_LIMIT : RESULT_NOT_LEADER, view_of(NULL, 0));
     return false;
 }
 
-/* Refuses to empty a machine when too few others would be left. */
+/* Refuses to retire a machine that is unknown or without which too few members would remain; false: refused. */
 static bool replica_check_retire(struct replica *replica, uint32_t group, const Request *request,
                                  const struct replica_waiter *waiter)
 {
     struct raft *raft = &replica->groups[group].raft;
     const struct site_state *site = &replica->groups[group].machine.site;
     Entry entry = {0};
-    bool looks = raft_is_leader(raft) && replica_entry_is(request->body, Entry_retire_start_tag);
-    if (!looks || !message_decode(request->body, Entry_fields, &entry)) {
+    bool relevant = raft_is_leader(raft) && replica_entry_is(request->body, Entry_retire_start_tag);
+    if (!relevant || !message_decode(request->body, Entry_fields, &entry)) {
         return true;
     }
     ResultCode code = RESULT_OK;
     if (entry.which_command == Entry_retire_start_tag) {
         const char *machine = entry.command.retire_start.machine;
-        struct membership_view views[RAFT_MAX_MEMBERS];
-        replica_describe_members(replica, raft, views);
-        if (!site_state_is_retired(site, machine) && !replica_has_machine(replica, &raft->members, machine)) {
+        struct membership_status statuses[RAFT_MAX_MEMBERS];
+        replica_describe_members(replica, raft, statuses);
+        if (!site_state_is_retiring(site, machine) && !replica_has_machine(replica, &raft->members, machine)) {
             code = RESULT_NOT_FOUND;
-        } else if (!site_state_is_retired(site, machine) && !membership_may_retire(&raft->members, views, machine)) {
+        } else if (!site_state_is_retiring(site, machine) &&
+                   !membership_may_retire(&raft->members, statuses, machine)) {
             code = RESULT_LIMIT;
         }
     }
@@ -276,26 +273,28 @@
         return true;
     }
     if (request->kind == REQUEST_TURNS_HELD) {
+        /* Answered from the local state without a linearizable read, since turns are immutable; a turn that is missing
+         * here may still exist. */
         replica_answer_turns(replica, group, waiter, request->body);
         return true;
     }
-    return request->kind == REQUEST_PROPOSE && (!replica_check_room(replica, group, request, waiter) ||
+    return request->kind == REQUEST_PROPOSE && (!replica_check_memory(replica, group, request, waiter) ||
                                                 !replica_check_retire(replica, group, request, waiter));
 }
 
-void replica_organize(struct replica *replica)
+void replica_update_members(struct replica *replica)
 {
     for (uint32_t group = 0; group < replica->config.groups; group++) {
         struct raft *raft = &replica->groups[group].raft;
         if (!raft_is_leader(raft) || raft->members_index > raft->commit) {
             continue;
         }
-        struct membership_view views[RAFT_MAX_MEMBERS];
-        replica_describe_members(replica, raft, views);
-        struct membership_step step =
-            membership_plan(&raft->members, views, replica->joins, REPLICA_MAX_JOINS, replica->now_ms);
-        if (step.wanted) {
-            replica_apply_member_step(replica, group, &step);
+        struct membership_status statuses[RAFT_MAX_MEMBERS];
+        replica_describe_members(replica, raft, statuses);
+        struct membership_change change =
+            membership_plan(&raft->members, statuses, replica->joins, REPLICA_MAX_JOINS, replica->now_ms);
+        if (change.needed) {
+            replica_propose_membership_change(replica, group, &change);
         }
     }
 }
--- a/src/core/resume.c
+++ b/src/core/resume.c
@@ -1,16 +1,16 @@
 #include "core/resume.h"
 
-resume_way_t resume_decide(const resume_view_t *view)
+resume_target_t resume_decide(const resume_stream_t *stream)
 {
-    if (!view->resumable || view->resumes >= RESUME_MAX || view->left_ms < RESUME_LEAST_MS) {
-        return RESUME_NOT;
+    if (!stream->resumable || stream->resumes >= RESUME_MAX || stream->left_ms < RESUME_MIN_REMAINING_MS) {
+        return RESUME_NONE;
     }
-    if (view->server_gone) {
+    if (stream->server_gone) {
         return RESUME_OTHER;
     }
-    bool others_allowed = view->servers < view->max_attempts;
-    if (view->server_closed) {
-        return others_allowed ? RESUME_OTHER : RESUME_NOT;
+    bool others_allowed = stream->servers_used < stream->max_attempts;
+    if (stream->server_out_of_rotation) {
+        return others_allowed ? RESUME_OTHER : RESUME_NONE;
     }
-    return others_allowed && view->resumes >= RESUME_SAME_MAX ? RESUME_OTHER : RESUME_SAME;
+    return others_allowed && stream->resumes >= RESUME_SAME_MAX ? RESUME_OTHER : RESUME_SAME;
 }
--- a/src/core/resume.h
+++ b/src/core/resume.h
@@ -1,16 +1,17 @@
 /**
  * @file resume.h
- * Where a stream that broke off goes on. Pure.
+ * Decides where an interrupted stream is resumed. A pure function.
  *
- * A run that a caller reads may be taken up with the id of the last event that
- * was passed on. The server that broke off is asked first: it keeps the prompt,
- * and a run there counts as no further server. It is passed over when it has
- * ended, leaves or is gone, since then the former run ends soon or has
- * ended. One that gets nothing new is passed over only where the route has room for
- * a further server, since the former run may go on. A run whose server only takes no connections does not break off:
- * that its server is gone, is told by its own connection (reach.h). Where the route has no room for a further server
- * and that one does not take the run back, being full, it is waited for as requests wait for a place (place_wait.h),
- * and the stream ends if it stays full.
+ * A stream is resumed after the last event that was forwarded to the caller. The
+ * same server is tried first: it has the prompt cached and does not count as
+ * another server. If it has ended, is leaving or is dead, its run of the stream
+ * has ended or ends soon, and another server is used. In a drained zone the run
+ * may continue: another server is used if the route allows one, and otherwise the
+ * stream ends. If no other server is allowed and this one is full, the stream
+ * waits like a queued request (queue_policy.h) and ends if the server stays full.
+ *
+ * A stream is not interrupted merely because its server accepts no new
+ * connections: its own connection shows whether the server is dead (reach.h).
  */
 #ifndef BANKBANK_CORE_RESUME_H
 #define BANKBANK_CORE_RESUME_H
@@ -19,30 +20,28 @@
 #include <stdint.h>
 
 enum {
-    RESUME_MAX = 4,       /**< Times that one stream is taken up. */
-    RESUME_LEAST_MS = 40, /**< Least time left of the caller's for that. */
-    RESUME_SAME_MAX = 2   /**< Times in a row at the server that broke off, where the route allows others. */
+    RESUME_MAX = 4,               /**< Per stream. */
+    RESUME_MIN_REMAINING_MS = 40, /**< Minimum time left until the caller's deadline. */
+    RESUME_SAME_MAX = 2           /**< Resumes before another server is used, if the route allows one. */
 };
 
-/** Where a broken stream goes on. */
-typedef enum resume_way_t {
-    RESUME_NOT,  /**< It ends. */
-    RESUME_SAME, /**< At the server that broke off. */
-    RESUME_OTHER /**< At another one. */
-} resume_way_t;
+typedef enum resume_target_t {
+    RESUME_NONE, /**< The stream ends. */
+    RESUME_SAME,
+    RESUME_OTHER
+} resume_target_t;
 
-/** A stream that broke off. */
-typedef struct resume_view_t {
-    bool resumable;        /**< Its route allows it. */
-    bool server_gone;      /**< server_is_gone(): it has ended, leaves or is gone. */
-    bool server_closed;    /**< It works on, and gets nothing new: its zone is drained. */
-    uint32_t resumes;      /**< Times it was taken up so far. */
-    uint32_t servers;      /**< Servers that may have run it. */
-    uint32_t max_attempts; /**< Most servers that the route allows. */
-    uint64_t left_ms;      /**< Time left of the caller's. */
-} resume_view_t;
+/** An interrupted stream. */
+typedef struct resume_stream_t {
+    bool resumable;              /**< Allowed by the route. */
+    bool server_gone;            /**< server_is_gone(). */
+    bool server_out_of_rotation; /**< The server's zone is drained. */
+    uint32_t resumes;            /**< So far. */
+    uint32_t servers_used;       /**< Servers that may have run it. */
+    uint32_t max_attempts;       /**< Maximum number of servers, set by the route. */
+    uint64_t left_ms;            /**< Time until the caller's deadline. */
+} resume_stream_t;
 
-/** Decides. */
-resume_way_t resume_decide(const resume_view_t *view);
+resume_target_t resume_decide(const resume_stream_t *stream);
 
 #endif
--- a/src/core/retry.c
+++ b/src/core/retry.c
@@ -1,31 +1,31 @@
 #include "core/retry.h"
 
-enum { RETRY_ONE = 100 /* one retry in hundredths */ };
+enum { RETRY_HUNDREDTHS = 100 /* hundredths per retry */ };
 
 static void retry_budget_start(struct retry_budget *budget)
 {
     if (!budget->started) {
         budget->started = true;
-        budget->hundredths = RETRY_BUDGET_MINIMUM * RETRY_ONE;
+        budget->hundredths = RETRY_BUDGET_MINIMUM * RETRY_HUNDREDTHS;
     }
 }
 
-void retry_budget_note_request(struct retry_budget *budget)
+void retry_budget_record_request(struct retry_budget *budget)
 {
     retry_budget_start(budget);
     budget->hundredths += RETRY_BUDGET_PERCENT;
-    if (budget->hundredths > RETRY_BUDGET_MAXIMUM * RETRY_ONE) {
-        budget->hundredths = RETRY_BUDGET_MAXIMUM * RETRY_ONE;
+    if (budget->hundredths > RETRY_BUDGET_MAXIMUM * RETRY_HUNDREDTHS) {
+        budget->hundredths = RETRY_BUDGET_MAXIMUM * RETRY_HUNDREDTHS;
     }
 }
 
 bool retry_budget_take(struct retry_budget *budget)
 {
     retry_budget_start(budget);
-    if (budget->hundredths < RETRY_ONE) {
+    if (budget->hundredths < RETRY_HUNDREDTHS) {
         return false;
     }
-    budget->hundredths -= RETRY_ONE;
+    budget->hundredths -= RETRY_HUNDREDTHS;
     return true;
 }
 
@@ -44,18 +44,18 @@
     return now_ms >= circuit->open_until_ms;
 }
 
-void circuit_note_success(struct circuit *circuit)
+void circuit_record_success(struct circuit *circuit)
 {
     circuit->failures = 0;
     circuit->trips = 0;
     circuit->open_until_ms = 0;
 }
 
-void circuit_note_failure(struct circuit *circuit, uint64_t now_ms)
+void circuit_record_failure(struct circuit *circuit, uint64_t now_ms)
 {
     circuit->failures++;
-    bool trial_failed = circuit->trips > 0;
-    if (circuit->failures >= CIRCUIT_FAILURES || trial_failed) {
+    bool opened_before = circuit->trips > 0;
+    if (circuit->failures >= CIRCUIT_FAILURES || opened_before) {
         circuit_open(circuit, now_ms);
     }
 }
--- a/src/core/route_table.c
+++ b/src/core/route_table.c
@@ -9,11 +9,11 @@
 
 #include "base/buffer.h"
 
-static uint64_t route_secret;
+static uint64_t route_key_secret;
 
 enum {
-    ROUTE_SHARE_STEPS = 101, /* points at which the shares of a route may begin */
-    ROUTE_RANDOM_SHIFT = 48  /* routes take different bits of the random number */
+    ROUTE_CREDIT_OFFSETS = 101, /* possible start offsets of the round robin */
+    ROUTE_RANDOM_SHIFTS = 48 /* route i shifts the random number by i modulo this, so that routes use different bits */
 };
 
 struct route_table *route_table_new(void)
@@ -23,7 +23,7 @@
     return table;
 }
 
-struct route_table *route_table_hold(struct route_table *table)
+struct route_table *route_table_retain(struct route_table *table)
 {
     table->references++;
     return table;
@@ -43,10 +43,10 @@
     free(route->name);
     free(route->host);
     free(route->prefix);
-    for (uint32_t i = 0; i < route->part_count; i++) {
-        free(route->parts[i].service);
+    for (uint32_t i = 0; i < route->backend_count; i++) {
+        free(route->backends[i].service);
     }
-    free(route->parts);
+    free(route->backends);
 }
 
 void route_table_release(struct route_table *table)
@@ -78,8 +78,8 @@
     free(table);
 }
 
-/* Grows an array by one zeroed item and returns it. */
-static void *route_grow(void **items, uint32_t *count, size_t size)
+/* Returns the new, zeroed item. */
+static void *route_array_append(void **items, uint32_t *count, size_t size)
 {
     *items = memory_resize(*items, (*count + 1) * size);
     void *item = (char *)*items + *count * size;
@@ -90,17 +90,17 @@
 
 struct route *route_table_add_route(struct route_table *table)
 {
-    return route_grow((void **)&table->routes, &table->route_count, sizeof(*table->routes));
+    return route_array_append((void **)&table->routes, &table->route_count, sizeof(*table->routes));
 }
 
 struct route_service *route_table_add_service(struct route_table *table)
 {
-    return route_grow((void **)&table->services, &table->service_count, sizeof(*table->services));
+    return route_array_append((void **)&table->services, &table->service_count, sizeof(*table->services));
 }
 
-struct route_part *route_add_part(struct route *route)
+struct route_backend *route_add_backend(struct route *route)
 {
-    return route_grow((void **)&route->parts, &route->part_count, sizeof(*route->parts));
+    return route_array_append((void **)&route->backends, &route->backend_count, sizeof(*route->backends));
 }
 
 /* ---- Regions ------------------------------------------------------------------ */
@@ -125,19 +125,19 @@
 
 void route_table_set_secret(uint64_t secret)
 {
-    route_secret = secret;
+    route_key_secret = secret;
 }
 
 struct route_tenant *route_table_add_tenant(struct route_table *table)
 {
     table->has_tenants = true;
-    return route_grow((void **)&table->tenants, &table->tenant_count, sizeof(*table->tenants));
+    return route_array_append((void **)&table->tenants, &table->tenant_count, sizeof(*table->tenants));
 }
 
 static void route_hash_key(struct view key, uint8_t hash[ROUTE_KEY_BYTES])
 {
     XXH128_canonical_t canonical;
-    XXH128_canonicalFromHash(&canonical, XXH3_128bits_withSeed(key.data, key.length, route_secret));
+    XXH128_canonicalFromHash(&canonical, XXH3_128bits_withSeed(key.data, key.length, route_key_secret));
     memcpy(hash, canonical.digest, ROUTE_KEY_BYTES);
 }
 
@@ -153,79 +153,79 @@
 bool route_table_add_key(struct route_table *table, struct view key)
 {
     uint32_t tenant = table->tenant_count - 1;
-    struct route_key *held = route_find_key(table, key);
-    if (held != NULL) {
-        return held->tenant == tenant;
+    struct route_key *entry = route_find_key(table, key);
+    if (entry != NULL) {
+        return entry->tenant == tenant;
     }
-    held = memory_new(sizeof(*held));
-    route_hash_key(key, held->hash);
-    held->tenant = tenant;
-    HASH_ADD(hh, table->keys, hash, ROUTE_KEY_BYTES, held);
+    entry = memory_new(sizeof(*entry));
+    route_hash_key(key, entry->hash);
+    entry->tenant = tenant;
+    HASH_ADD(hh, table->keys, hash, ROUTE_KEY_BYTES, entry);
     table->tenants[tenant].key_count++;
     return true;
 }
 
 const struct route_tenant *route_table_tenant(const struct route_table *table, struct view key)
 {
-    const struct route_key *held = route_find_key(table, key);
-    return held == NULL ? NULL : &table->tenants[held->tenant];
+    const struct route_key *entry = route_find_key(table, key);
+    return entry == NULL ? NULL : &table->tenants[entry->tenant];
 }
 
-/* ---- Checks ------------------------------------------------------------------- */
+/* ---- Validation --------------------------------------------------------------- */
 
-static void route_check_parts(const struct route_table *table, const struct route *route, const char *place,
-                              struct findings *findings)
+static void route_check_backends(const struct route_table *table, const struct route *route, const char *location,
+                                 struct findings *findings)
 {
     uint64_t weights = 0;
-    for (uint32_t i = 0; i < route->part_count; i++) {
-        weights += route->parts[i].weight;
-        if (route_table_service(table, route->parts[i].service) == NULL) {
-            findings_add(findings, place, "names the unknown service '%s'", route->parts[i].service);
+    for (uint32_t i = 0; i < route->backend_count; i++) {
+        weights += route->backends[i].weight;
+        if (route_table_service(table, route->backends[i].service) == NULL) {
+            findings_add(findings, location, "names the unknown service '%s'", route->backends[i].service);
         }
     }
     if (weights == 0) {
-        findings_add(findings, place, "its weights add up to 0");
+        findings_add(findings, location, "its weights add up to 0");
     }
 }
 
 static void route_check(const struct route_table *table, uint32_t position, struct findings *findings)
 {
     const struct route *route = &table->routes[position];
-    char place[64];
-    snprintf(place, sizeof(place), "route %u (%.40s)", position, route->name);
+    char location[64];
+    snprintf(location, sizeof(location), "route %u (%.40s)", position, route->name);
     size_t length = strlen(route->prefix);
     if (route->host[0] == '\0') {
-        findings_add(findings, place, "has no host");
+        findings_add(findings, location, "has no host");
     }
     if (length == 0 || route->prefix[0] != '/' || route->prefix[length - 1] != '/') {
-        findings_add(findings, place, "its prefix must begin and end with a slash");
+        findings_add(findings, location, "its prefix must begin and end with a slash");
     }
     if (route->timeout_ms == 0) {
-        findings_add(findings, place, "its timeout is 0");
+        findings_add(findings, location, "its timeout is 0");
     }
     for (uint32_t i = 0; i < position; i++) {
         const struct route *other = &table->routes[i];
         if (strcasecmp(other->host, route->host) == 0 && strcmp(other->prefix, route->prefix) == 0) {
-            findings_add(findings, place, "has the host and prefix of route %u", i);
+            findings_add(findings, location, "has the host and prefix of route %u", i);
         }
     }
-    route_check_parts(table, route, place, findings);
+    route_check_backends(table, route, location, findings);
 }
 
 static void route_check_tenant(struct route_table *table, uint32_t position, struct findings *findings)
 {
     struct route_tenant *tenant = &table->tenants[position];
-    char place[64];
-    snprintf(place, sizeof(place), "tenant %u (%.40s)", position, tenant->name);
+    char location[64];
+    snprintf(location, sizeof(location), "tenant %u (%.40s)", position, tenant->name);
     if (tenant->name[0] == '\0') {
-        findings_add(findings, place, "has no name");
+        findings_add(findings, location, "has no name");
     }
     if (strpbrk(tenant->name, "\r\n") != NULL) {
-        findings_add(findings, place, "its name has a line break");
+        findings_add(findings, location, "its name has a line break");
     }
     for (uint32_t i = 0; i < position; i++) {
         if (strcmp(table->tenants[i].name, tenant->name) == 0) {
-            findings_add(findings, place, "has the name of tenant %u", i);
+            findings_add(findings, location, "has the name of tenant %u", i);
         }
     }
     uint64_t hash = XXH64(tenant->name, strlen(tenant->name), 0);
@@ -254,14 +254,14 @@
     }
 }
 
-/* ---- Look-up ------------------------------------------------------------------- */
+/* ---- Lookup -------------------------------------------------------------------- */
 
 static bool route_host_matches(const struct route *route, struct view host)
 {
     return strlen(route->host) == host.length && strncasecmp(route->host, (const char *)host.data, host.length) == 0;
 }
 
-static struct view route_cut_at(struct view text, char end)
+static struct view route_text_before(struct view text, char end)
 {
     const uint8_t *at = text.length == 0 ? NULL : memchr(text.data, end, text.length);
     return at == NULL ? text : view_of(text.data, (size_t)(at - text.data));
@@ -269,8 +269,8 @@
 
 struct route *route_table_find(const struct route_table *table, struct view host, struct view target)
 {
-    struct view name = route_cut_at(host, ':');
-    struct view path = route_cut_at(target, '?');
+    struct view name = route_text_before(host, ':');
+    struct view path = route_text_before(target, '?');
     struct route *best = NULL;
     size_t best_length = 0;
     for (uint32_t i = 0; i < table->route_count; i++) {
@@ -296,19 +296,19 @@
     return NULL;
 }
 
-const struct route_part *route_choose_part(struct route *route, bool (*usable)(void *context, const char *service),
-                                           void *context)
+const struct route_backend *route_choose_backend(struct route *route,
+                                                 bool (*usable)(void *context, const char *service), void *context)
 {
-    struct route_part *best = NULL;
+    struct route_backend *best = NULL;
     int64_t total = 0;
-    for (uint32_t i = 0; i < route->part_count; i++) {
-        struct route_part *part = &route->parts[i];
-        if (part->weight == 0 || !usable(context, part->service)) {
+    for (uint32_t i = 0; i < route->backend_count; i++) {
+        struct route_backend *backend = &route->backends[i];
+        if (backend->weight == 0 || !usable(context, backend->service)) {
             continue;
         }
-        part->credit += part->weight;
-        total += part->weight;
-        best = best == NULL || part->credit > best->credit ? part : best;
+        backend->credit += backend->weight;
+        total += backend->weight;
+        best = best == NULL || backend->credit > best->credit ? backend : best;
     }
     if (best != NULL) {
         best->credit -= total;
@@ -316,48 +316,49 @@
     return best;
 }
 
-static bool route_has_same_parts(const struct route *a, const struct route *b)
+static bool route_has_same_backends(const struct route *a, const struct route *b)
 {
     bool same =
-        a->part_count == b->part_count && strcasecmp(a->host, b->host) == 0 && strcmp(a->prefix, b->prefix) == 0;
-    for (uint32_t i = 0; same && i < a->part_count; i++) {
-        same = a->parts[i].weight == b->parts[i].weight && strcmp(a->parts[i].service, b->parts[i].service) == 0;
+        a->backend_count == b->backend_count && strcasecmp(a->host, b->host) == 0 && strcmp(a->prefix, b->prefix) == 0;
+    for (uint32_t i = 0; same && i < a->backend_count; i++) {
+        same = a->backends[i].weight == b->backends[i].weight &&
+               strcmp(a->backends[i].service, b->backends[i].service) == 0;
     }
     return same;
 }
 
-static bool route_carry_shares(struct route *route, const struct route_table *previous)
+static bool route_copy_credits(struct route *route, const struct route_table *previous)
 {
     for (uint32_t i = 0; previous != NULL && i < previous->route_count; i++) {
         const struct route *old = &previous->routes[i];
-        if (!route_has_same_parts(route, old)) {
+        if (!route_has_same_backends(route, old)) {
             continue;
         }
-        for (uint32_t k = 0; k < route->part_count; k++) {
-            route->parts[k].credit = old->parts[k].credit;
+        for (uint32_t k = 0; k < route->backend_count; k++) {
+            route->backends[k].credit = old->backends[k].credit;
         }
         return true;
     }
     return false;
 }
 
-static bool route_any_part(void *context, const char *service)
+static bool route_any_backend(void *context, const char *service)
 {
     (void)context;
     (void)service;
     return true;
 }
 
-void route_table_begin_shares(struct route_table *table, const struct route_table *previous, uint64_t random)
+void route_table_init_credits(struct route_table *table, const struct route_table *previous, uint64_t random)
 {
     for (uint32_t i = 0; i < table->route_count; i++) {
         struct route *route = &table->routes[i];
-        if (route->part_count < 2 || route_carry_shares(route, previous)) {
+        if (route->backend_count < 2 || route_copy_credits(route, previous)) {
             continue;
         }
-        uint64_t skipped = (random >> (i % ROUTE_RANDOM_SHIFT)) % ROUTE_SHARE_STEPS;
-        for (uint64_t k = 0; k < skipped; k++) {
-            route_choose_part(route, route_any_part, NULL);
+        uint64_t rounds = (random >> (i % ROUTE_RANDOM_SHIFTS)) % ROUTE_CREDIT_OFFSETS;
+        for (uint64_t k = 0; k < rounds; k++) {
+            route_choose_backend(route, route_any_backend, NULL);
         }
     }
 }
--- a/src/core/route_table.h
+++ b/src/core/route_table.h
@@ -1,12 +1,13 @@
 /**
  * @file route_table.h
- * A site's configuration in typed form: routes by host and path prefix,
- * services, tenants with their keys, and limits of what clients may send.
- * Immutable once checked; a request holds a reference to the one it began under.
+ * Typed configuration of a site: routes by host and path prefix, services,
+ * tenants with their API keys, and limits on client requests. Immutable once
+ * checked, except for the credits of the backends; a request holds a reference to
+ * the table that was active when it started.
  *
- * Keys are held by a 128-bit hash under a secret of the process: the table
- * cannot be made to tell them, and the time of a look-up depends on a hash that
- * a caller cannot compute, not on how much of a key was guessed.
+ * Keys are stored as 128-bit hashes, seeded with a secret of the process: the
+ * table cannot disclose them, and the time of a lookup does not tell how much of a
+ * key was guessed.
  */
 #ifndef BANKBANK_CORE_ROUTE_TABLE_H
 #define BANKBANK_CORE_ROUTE_TABLE_H
@@ -19,156 +20,153 @@
 #include "base/findings.h"
 #include "base/view.h"
 
-/** What may be repeated. */
+/** Whether a request may run more than once. */
 enum route_kind {
     ROUTE_SAFE,  /**< May run more than once. */
-    ROUTE_ONCE,  /**< At most once for each attempt of a client. */
-    ROUTE_STREAM /**< Answers as a series of events; at most once unless resumable. */
+    ROUTE_ONCE,  /**< Runs at most once; a client's retry counts as another request. */
+    ROUTE_STREAM /**< The response is an event stream; at most once unless resumable. */
 };
 
-/** Regions that may serve, store and be told what is said; none named: all. */
+/** Regions that may serve requests and receive and store their contents; if none is listed, all may. */
 typedef struct route_regions_t {
-    char **names;   /**< Owned names. */
-    uint32_t count; /**< Number of those. */
+    char **names; /**< Owned. */
+    uint32_t count;
 } route_regions_t;
 
-/** One of the services that share a route. */
-struct route_part {
-    char *service;   /**< Name. */
-    uint32_t weight; /**< Relative share. */
-    int64_t credit;  /**< Smooth weighted round robin. */
+/** One of the services that share the traffic of a route. */
+struct route_backend {
+    char *service;
+    uint32_t weight; /**< Relative; 0: never chosen. */
+    int64_t credit;  /**< State of the smooth weighted round robin. */
 };
 
-/** A route. */
+/** Strings and arrays are owned. */
 struct route {
-    char *name;                 /**< For logs. */
-    char *host;                 /**< Host it serves. */
-    char *prefix;               /**< Begin of the paths it serves, with slashes at both ends. */
-    enum route_kind kind;       /**< What may be repeated. */
-    uint64_t timeout_ms;        /**< Longest time a request is held. */
-    uint64_t target_latency_ms; /**< Time within which an answer is worth its full credit. */
-    uint64_t target_gap_ms;     /**< Longest pause between events that is in time; 0: none told. */
-    uint32_t priority;          /**< Rank, 0 is the highest. */
-    uint32_t max_attempts;      /**< Most servers that one attempt of a client may run on. */
-    bool turns;                 /**< Its requests are turns of programs. */
-    bool stateful;              /**< What was said is kept here. */
-    uint64_t retention_ms;      /**< How long. */
-    bool sticky;                /**< Prompts share parts: servers keep what they read. */
-    bool resumable;             /**< A broken stream may go on at another server. */
-    bool open;                  /**< It takes requests without a key, where others need one. */
-    route_regions_t regions;    /**< Where its requests may go. */
-    struct route_part *parts;   /**< Services. */
-    uint32_t part_count;        /**< Number of those. */
+    char *name; /**< For logs. */
+    char *host;
+    char *prefix; /**< Of the path; begins and ends with a slash. */
+    enum route_kind kind;
+    uint64_t timeout_ms;        /**< Maximum duration of a request. */
+    uint64_t target_latency_ms; /**< Target for the response time. */
+    uint64_t target_gap_ms;     /**< Target for the interval between events; 0: none. */
+    uint32_t priority;          /**< 0: highest. */
+    uint32_t max_attempts;      /**< Maximum number of servers for one client request. */
+    bool turns;                 /**< Requests are turns of programs. */
+    bool stateful;              /**< The conversation is stored by bankbank. */
+    uint64_t retention_ms;      /**< How long it is stored. */
+    bool sticky;                /**< Prompts share prefixes, which servers cache. */
+    bool resumable;             /**< An interrupted stream may be resumed on another server. */
+    bool allows_anonymous;      /**< Requests need no key even if there are tenants. */
+    route_regions_t regions;    /**< Allowed regions. */
+    struct route_backend *backends;
+    uint32_t backend_count;
 };
 
-/** A service. */
 struct route_service {
-    char *name;               /**< Unique name. */
-    char *health_path;        /**< Path of the health check. */
-    uint32_t max_connections; /**< Connections that a server accepts from all daemons together. */
-    uint32_t chunk_tokens;    /**< Tokens in an event; 0: not a model engine. */
-    uint32_t slots;           /**< Requests a server runs at once; 0: not told. */
+    char *name; /**< Unique. */
+    char *health_path;
+    uint32_t max_connections; /**< Per server, from all daemons together. */
+    uint32_t chunk_tokens;    /**< Tokens per event; 0: not a model engine. */
+    uint32_t slots;           /**< Requests that a server runs concurrently; 0: unknown. */
     uint64_t hash;            /**< Of the name; set by route_table_check(). */
-    double start_rate_per_s;  /**< Requests a second that a server bears while it starts; 0: as many as ever. */
+    double start_rate_per_s;  /**< Requests per second to a starting server; 0: no limit. */
 };
 
-/** A tenant. */
 struct route_tenant {
-    char *name;              /**< Unique name, told to servers. */
-    uint64_t hash;           /**< Of the name, never 0. */
-    bool ranked;             /**< It has a priority, which comes before that of a route. */
-    uint32_t priority;       /**< Rank, 0 is the highest. */
-    double rate_per_s;       /**< Requests a second that it may make, over all gateways; 0: no limit. */
-    double burst;            /**< Requests on top of that, at once. */
-    uint32_t key_count;      /**< Keys that it holds. */
-    route_regions_t regions; /**< Where its requests may go, besides what their route says. */
+    char *name;        /**< Unique, sent to servers. */
+    uint64_t hash;     /**< Of the name, never 0; set by route_table_check(). */
+    bool has_priority; /**< `priority` is set and takes precedence over that of a route. */
+    uint32_t priority; /**< 0: highest. */
+    double rate_per_s; /**< Request rate limit over all gateways; 0: none. */
+    double burst;      /**< In requests. */
+    uint32_t key_count;
+    route_regions_t regions; /**< Allowed regions; those of the route also apply. */
 };
 
-enum { ROUTE_KEY_BYTES = 16 /**< Bytes of a key's hash. */ };
+enum { ROUTE_KEY_BYTES = 16 /**< Size of a key's hash. */ };
 
-/** A key of a tenant. */
 struct route_key {
-    uint8_t hash[ROUTE_KEY_BYTES]; /**< Of the key, under the process's secret. */
-    uint32_t tenant;               /**< Position of the tenant that holds it. */
+    uint8_t hash[ROUTE_KEY_BYTES]; /**< Seeded with the process's secret. */
+    uint32_t tenant;               /**< Index. */
     UT_hash_handle hh;             /**< By hash. */
 };
 
-/** Limits of what clients may send; 0: not told. */
+/** Limits on client requests; 0: not configured. */
 struct route_limits {
-    uint64_t max_header_bytes;  /**< Largest head. */
-    uint64_t max_body_bytes;    /**< Largest body. */
-    uint64_t header_timeout_ms; /**< Longest arrival of a request. */
-    uint64_t idle_timeout_ms;   /**< Longest rest of a connection. */
+    uint64_t max_header_bytes;
+    uint64_t max_body_bytes;
+    uint64_t header_timeout_ms; /**< Maximum time to receive a request. */
+    uint64_t idle_timeout_ms;   /**< Maximum idle time of a connection. */
 };
 
-/** A configuration. */
+/** A configuration; reference-counted. Arrays are owned. */
 struct route_table {
-    uint64_t version;               /**< Orders configurations. */
-    struct route *routes;           /**< Owned array. */
-    uint32_t route_count;           /**< Number of routes. */
-    struct route_service *services; /**< Owned array. */
-    uint32_t service_count;         /**< Number of services. */
-    bool has_tenants;               /**< Requests need a key, except on open routes. */
-    struct route_tenant *tenants;   /**< Owned array. */
-    uint32_t tenant_count;          /**< Number of tenants. */
-    struct route_key *keys;         /**< By hash. */
-    struct route_limits limits;     /**< Limits. */
-    uint32_t references;            /**< Holders; freed with the last one. */
+    uint64_t version; /**< A higher one replaces a lower one. */
+    struct route *routes;
+    uint32_t route_count;
+    struct route_service *services;
+    uint32_t service_count;
+    bool has_tenants; /**< Requests need a key, except on routes that allow anonymous ones. */
+    struct route_tenant *tenants;
+    uint32_t tenant_count;
+    struct route_key *keys; /**< By hash. */
+    struct route_limits limits;
+    uint32_t references;
 };
 
-/** An empty table with one reference. */
+/** Creates an empty table with one reference. */
 struct route_table *route_table_new(void);
 
-/** Adds a reference. */
-struct route_table *route_table_hold(struct route_table *table);
+struct route_table *route_table_retain(struct route_table *table);
 
-/** Drops a reference; NULL is allowed. */
+/** Frees the table with the last reference; NULL is allowed. */
 void route_table_release(struct route_table *table);
 
-/** Sets the secret under which keys are hashed, before any table is read. */
+/** Sets the seed for the hashes of keys. Must be called before any key is added. */
 void route_table_set_secret(uint64_t secret);
 
-/** Adds a tenant, all zero; its hash is set by route_table_check(). Valid until the next addition. */
+/** Adds a zeroed tenant, valid until the next addition; its hash is set by route_table_check(). */
 struct route_tenant *route_table_add_tenant(struct route_table *table);
 
-/** Gives a key to the tenant added last; false: another tenant holds it. */
+/** Adds a key to the last added tenant; false if another tenant has the key. */
 bool route_table_add_key(struct route_table *table, struct view key);
 
-/** The tenant that holds a key, or NULL. */
+/** The tenant that a key belongs to, or NULL. */
 const struct route_tenant *route_table_tenant(const struct route_table *table, struct view key);
 
-/** Adds a route, service or part, all zero; valid until the next addition. */
+/** Adds a zeroed route, service or backend, valid until the next addition. */
 struct route *route_table_add_route(struct route_table *table);
 struct route_service *route_table_add_service(struct route_table *table);
-struct route_part *route_add_part(struct route *route);
+struct route_backend *route_add_backend(struct route *route);
 
 /**
- * Before a table comes into force: each split route goes on from its shares in
- * `previous` (may be NULL), or begins at a point that `random` picks, so that
- * many gateways, or many configurations in a row, keep the weights together.
+ * Must be called before a table becomes active. A route with several backends
+ * takes its credits from the same route in `previous` (may be NULL), or starts the
+ * round robin at an offset chosen by `random`. This way the weights also hold
+ * across many gateways with few requests each and across frequent configuration
+ * changes.
  */
-void route_table_begin_shares(struct route_table *table, const struct route_table *previous, uint64_t random);
+void route_table_init_credits(struct route_table *table, const struct route_table *previous, uint64_t random);
 
-/** Adds every fault of the whole to `findings`. */
+/** Validates a complete table, adds all errors to `findings` and sets the hashes of tenants and services. */
 void route_table_check(struct route_table *table, struct findings *findings);
 
-/** The route of a host (a port in it is ignored) and a target (a query in it is ignored), or NULL. */
+/** The route with the longest prefix for a host (ignoring a port) and a target (ignoring a query), or NULL. */
 struct route *route_table_find(const struct route_table *table, struct view host, struct view target);
 
-/** A service by name, or NULL. */
+/** NULL: no such service. */
 const struct route_service *route_table_service(const struct route_table *table, const char *name);
 
-/** The next part of a route by weight; `usable` tells which parts may be taken. NULL: none. */
-const struct route_part *route_choose_part(struct route *route, bool (*usable)(void *context, const char *service),
-                                           void *context);
+/** The next backend of a route by weight among those that are `usable`, or NULL if there is none. */
+const struct route_backend *route_choose_backend(struct route *route,
+                                                 bool (*usable)(void *context, const char *service), void *context);
 
-/** Adds a region that may be used. */
 void route_regions_add(route_regions_t *regions, const char *name);
 
-/** Whether a region (NULL: not known) may be used. */
+/** `name` is NULL if the region is unknown. */
 bool route_regions_allow(const route_regions_t *regions, const char *name);
 
-/** Whether a request of this route may run more than once. */
+/** Whether a request may run more than once. */
 bool route_may_repeat(const struct route *route);
 
 #endif
--- a/src/core/server_choice.c
+++ b/src/core/server_choice.c
@@ -1,4 +1,4 @@
-/* Which server a request goes to. */
+/* Selection of the server for a request. */
 #include "core/server_table_internal.h"
 
 #include <string.h>
@@ -7,208 +7,216 @@
 
 #include "base/buffer.h"
 
-enum { SERVER_LOAD_SHIFT = 16 };
+enum { SERVER_LOAD_FRACTION_BITS = 16 };
 
-static bool server_region_is_allowed(const struct server *server, const struct server_wish *wish)
+static bool server_region_is_allowed(const struct server *server, const struct server_criteria *criteria)
 {
     bool allowed = true;
-    for (int i = 0; i < SERVER_BINDS; i++) {
-        allowed = allowed && (wish->regions[i] == NULL || route_regions_allow(wish->regions[i], server->region));
+    for (int i = 0; i < SERVER_REGION_RULES; i++) {
+        allowed = allowed &&
+                  (criteria->region_rules[i] == NULL || route_regions_allow(criteria->region_rules[i], server->region));
     }
     return allowed;
 }
 
-bool server_table_bars(const struct server_table *table, const struct server_wish *wish)
+bool server_table_all_excluded(const struct server_table *table, const struct server_criteria *criteria)
 {
-    bool barred = false;
+    bool excluded = false;
     for (const struct server *server = table->servers; server != NULL; server = server->hh.next) {
-        if (!text_equal(server->service, wish->service) || server_leaves(server)) {
+        if (!text_equal(server->service, criteria->service) || server_is_leaving(server)) {
             continue;
         }
-        if (!server->zone_drained && server_region_is_allowed(server, wish)) {
+        if (!server->zone_drained && server_region_is_allowed(server, criteria)) {
             return false;
         }
-        barred = true;
+        excluded = true;
     }
-    return barred;
+    return excluded;
 }
 
-/* May get requests at all. */
-static bool server_is_open(const struct server *server, uint64_t now_ms)
+static bool server_accepts_requests(const struct server *server, uint64_t now_ms)
 {
-    return !server_is_closed(server) && now_ms >= server->full_until_ms;
+    return !server_is_out_of_rotation(server) && now_ms >= server->full_until_ms;
 }
 
-/* Nothing shows that it cannot be reached. */
-static bool server_is_sound(const struct server *server)
+static bool server_is_reachable(const struct server *server)
 {
-    return !server->reach.lost;
+    return !server->reach.unreachable;
 }
 
-static bool server_was_tried(const struct server *server, const struct server_wish *wish)
+static bool server_was_tried(const struct server *server, const struct server_criteria *criteria)
 {
-    for (uint32_t i = 0; i < wish->tried_count; i++) {
-        if (wish->tried[i] == server) {
+    for (uint32_t i = 0; i < criteria->tried_count; i++) {
+        if (criteria->tried[i] == server) {
             return true;
         }
     }
     return false;
 }
 
-void server_wish_note_tried(struct server_wish *wish, const struct server *server)
+void server_criteria_add_tried(struct server_criteria *criteria, const struct server *server)
 {
-    if (!server_was_tried(server, wish) && wish->tried_count < SERVER_MAX_TRIED) {
-        wish->tried[wish->tried_count++] = server;
+    if (!server_was_tried(server, criteria) && criteria->tried_count < SERVER_MAX_TRIED) {
+        criteria->tried[criteria->tried_count++] = server;
     }
 }
 
-bool server_table_serves(const struct server_table *table, uint64_t now_ms, const char *service,
-                         const struct server_wish *wish)
+bool server_table_has_available(const struct server_table *table, uint64_t now_ms, const char *service,
+                                const struct server_criteria *criteria)
 {
     for (const struct server *server = table->servers; server != NULL; server = server->hh.next) {
-        if (text_equal(server->service, service) && server_is_open(server, now_ms) &&
-            server_region_is_allowed(server, wish)) {
+        if (text_equal(server->service, service) && server_accepts_requests(server, now_ms) &&
+            server_region_is_allowed(server, criteria)) {
             return true;
         }
     }
     return false;
 }
 
-/* Breaks ties: an order of the servers that changes with each choice. */
-static uint64_t server_rank(const struct server *server, uint64_t choice)
+/* For rendezvous hashing, and for breaking ties with a seed that changes with each choice. */
+static uint64_t server_hash_rank(const struct server *server, uint64_t seed)
 {
-    uint64_t material[2] = {server->hash, choice};
-    return XXH64(material, sizeof(material), 0);
+    uint64_t key[2] = {server->hash, seed};
+    return XXH64(key, sizeof(key), 0);
 }
 
-/* A server that fails is still better than a long queue elsewhere. */
-static uint64_t server_failure_calls(const struct server_table *table, const struct server *server, uint64_t now_ms)
+/* In requests. Limited, because a failing server is still better than a long queue elsewhere. */
+static uint64_t server_failure_penalty(const struct server_table *table, const struct server *server, uint64_t now_ms)
 {
-    uint64_t calls = health_calls(server_failures(table, server, now_ms));
-    uint64_t most = SERVER_FAILING_QUEUE * server_slots(server);
-    return calls < most ? calls : most;
+    uint64_t requests = health_penalty_requests(server_failure_share(table, server, now_ms));
+    uint64_t max_requests = SERVER_FAILURE_MAX_FACTOR * server_slots(server);
+    return requests < max_requests ? requests : max_requests;
 }
 
-/* What it would have to read anew of the shared parts, as calls in a scale that keeps fractions. */
-static uint64_t server_reading(const struct server *server, const struct server_wish *wish, uint64_t now_ms)
+/* Cost of processing the uncached shared parts of the prompt, or of a server that is not preferred for the affinity
+ * key, in fixed-point requests. */
+static uint64_t server_cache_miss_cost(const struct server *server, const struct server_criteria *criteria,
+                                       uint64_t now_ms)
 {
-    if (wish->chain == NULL) {
-        return wish->object == 0 ? 0 : (uint64_t)SERVER_OBJECT_CALLS << SERVER_LOAD_SHIFT;
+    if (criteria->chain == NULL) {
+        return criteria->affinity_key == 0 ? 0 : (uint64_t)SERVER_AFFINITY_MISS_REQUESTS << SERVER_LOAD_FRACTION_BITS;
     }
-    uint32_t missing = prefix_table_missing(&server->prefixes, now_ms, wish->chain);
-    return prefix_cost_calls(wish->cost, missing, 1 << SERVER_LOAD_SHIFT);
+    uint32_t uncached = prefix_table_uncached_tokens(&server->prefixes, now_ms, criteria->chain);
+    return prefix_cost_in_calls(criteria->cost, uncached, 1 << SERVER_LOAD_FRACTION_BITS);
 }
 
-/* Calls per slot in a scale that keeps fractions. What speaks against a server counts as calls: a new
- * connection, the way to another zone, failures, a start, parts of the prompt to be read. */
+/* Fixed-point requests per slot; costs count as additional requests. */
 static uint64_t server_load(const struct server_table *table, const struct server *server,
-                            const struct server_wish *wish, uint64_t now_ms, bool favored)
+                            const struct server_criteria *criteria, uint64_t now_ms, bool preferred)
 {
-    bool remote = !text_equal(server->zone, wish->zone);
-    bool cold = wish->warm != NULL && !wish->warm(wish->context, server->address);
-    uint64_t calls = server_calls(table, server, now_ms);
-    calls += cold ? SERVER_COLD_CALLS : 0;
-    calls += remote ? SERVER_REMOTE_CALLS : 0;
-    calls += server_failure_calls(table, server, now_ms);
-    calls += wish->may_start != NULL && server_is_starting(server, now_ms) ? server_slots(server) : 0;
-    uint64_t reading = favored ? 0 : server_reading(server, wish, now_ms);
-    return ((calls << SERVER_LOAD_SHIFT) + reading) / server_slots(server);
+    bool remote = !text_equal(server->zone, criteria->zone);
+    bool needs_connection =
+        criteria->has_idle_connection != NULL && !criteria->has_idle_connection(criteria->context, server->address);
+    uint64_t requests = server_total_in_flight(table, server, now_ms);
+    requests += needs_connection ? SERVER_CONNECT_REQUESTS : 0;
+    requests += remote ? SERVER_REMOTE_ZONE_REQUESTS : 0;
+    requests += server_failure_penalty(table, server, now_ms);
+    requests += criteria->has_start_token != NULL && server_is_starting(server, now_ms) ? server_slots(server) : 0;
+    uint64_t cache_miss_cost = preferred ? 0 : server_cache_miss_cost(server, criteria, now_ms);
+    return ((requests << SERVER_LOAD_FRACTION_BITS) + cache_miss_cost) / server_slots(server);
 }
 
-/* Where no server is sound, any open one is better than none. */
-static bool server_may_do(const struct server *server, const struct server_wish *wish, uint64_t now_ms)
+/* Ignores reachability: an unreachable server is better than none. */
+static bool server_is_eligible(const struct server *server, const struct server_criteria *criteria, uint64_t now_ms)
 {
-    bool fits = text_equal(server->service, wish->service) && server_is_open(server, now_ms) &&
-                !server_was_tried(server, wish) && server_region_is_allowed(server, wish);
-    bool held_back = fits && wish->may_start != NULL && server_is_starting(server, now_ms);
-    return fits && (!held_back || wish->may_start(wish->context, server));
+    bool eligible = text_equal(server->service, criteria->service) && server_accepts_requests(server, now_ms) &&
+                    !server_was_tried(server, criteria) && server_region_is_allowed(server, criteria);
+    bool needs_token = eligible && criteria->has_start_token != NULL && server_is_starting(server, now_ms);
+    return eligible && (!needs_token || criteria->has_start_token(criteria->context, server));
 }
 
-static bool server_fits(const struct server *server, const struct server_wish *wish, uint64_t now_ms)
+static bool server_is_eligible_and_reachable(const struct server *server, const struct server_criteria *criteria,
+                                             uint64_t now_ms)
 {
-    return server_is_sound(server) && server_may_do(server, wish, now_ms);
+    return server_is_reachable(server) && server_is_eligible(server, criteria, now_ms);
 }
 
-/* All gateways begin with the same server for the same parts, or the same object. */
-static const struct server *server_favored(const struct server_table *table, uint64_t now_ms,
-                                           const struct server_wish *wish,
-                                           bool (*fits)(const struct server *, const struct server_wish *, uint64_t))
+/* Rendezvous hashing: all gateways prefer the same server for the same prompt parts or the same affinity key, and
+ * assume that it has the data cached. */
+static const struct server *
+server_preferred(const struct server_table *table, uint64_t now_ms, const struct server_criteria *criteria,
+                 bool (*eligible)(const struct server *, const struct server_criteria *, uint64_t))
 {
-    const struct server *favored = NULL;
+    const struct server *preferred = NULL;
     uint64_t highest = 0;
-    bool has_chain = wish->chain != NULL && wish->chain->count > 0;
-    uint64_t chain = has_chain ? wish->chain->hashes[wish->chain->count - 1] : wish->object;
-    if (chain == 0) {
+    bool has_chain = criteria->chain != NULL && criteria->chain->count > 0;
+    uint64_t key = has_chain ? criteria->chain->hashes[criteria->chain->count - 1] : criteria->affinity_key;
+    if (key == 0) {
         return NULL;
     }
     for (const struct server *server = table->servers; server != NULL; server = server->hh.next) {
-        uint64_t rank = server_rank(server, chain);
-        if (fits(server, wish, now_ms) && (favored == NULL || rank > highest)) {
-            favored = server;
+        uint64_t rank = server_hash_rank(server, key);
+        if (eligible(server, criteria, now_ms) && (preferred == NULL || rank > highest)) {
+            preferred = server;
             highest = rank;
         }
     }
-    return favored;
+    return preferred;
 }
 
-static struct server *server_idlest(struct server_table *table, uint64_t now_ms, const struct server_wish *wish,
-                                    bool (*fits)(const struct server *, const struct server_wish *, uint64_t))
+static struct server *
+server_least_loaded(struct server_table *table, uint64_t now_ms, const struct server_criteria *criteria,
+                    bool (*eligible)(const struct server *, const struct server_criteria *, uint64_t))
 {
-    struct server *idlest = NULL;
-    uint64_t least = 0;
-    uint64_t least_order = 0;
-    const struct server *favored = server_favored(table, now_ms, wish, fits);
+    struct server *least_loaded = NULL;
+    uint64_t least_load = 0;
+    uint64_t highest_rank = 0;
+    const struct server *preferred = server_preferred(table, now_ms, criteria, eligible);
     table->rotation++;
     for (struct server *server = table->servers; server != NULL; server = server->hh.next) {
-        if (!fits(server, wish, now_ms)) {
+        if (!eligible(server, criteria, now_ms)) {
             continue;
         }
-        uint64_t load = server_load(table, server, wish, now_ms, server == favored);
-        uint64_t order = server_rank(server, table->rotation);
-        if (idlest == NULL || load < least || (load == least && order > least_order)) {
-            idlest = server;
-            least = load;
-            least_order = order;
+        uint64_t load = server_load(table, server, criteria, now_ms, server == preferred);
+        uint64_t rank = server_hash_rank(server, table->rotation);
+        if (least_loaded == NULL || load < least_load || (load == least_load && rank > highest_rank)) {
+            least_loaded = server;
+            least_load = load;
+            highest_rank = rank;
         }
     }
-    return idlest;
+    return least_loaded;
 }
 
-/* Reading a prompt anew costs all that run there: a program leaves its home only for a much idler server, or
- * when it fails. */
-static bool server_should_leave(const struct server_table *table, const struct server *home, const struct server *other,
-                                uint64_t now_ms)
+/* True only if the other server has much less load or only the home fails: processing a prompt again delays all
+ * requests on the new server. */
+static bool server_should_leave_home(const struct server_table *table, const struct server *home,
+                                     const struct server *other, uint64_t now_ms)
 {
-    if (health_is_bad(server_failures(table, home, now_ms)) && !health_is_bad(server_failures(table, other, now_ms))) {
+    if (health_is_bad(server_failure_share(table, home, now_ms)) &&
+        !health_is_bad(server_failure_share(table, other, now_ms))) {
         return true;
     }
-    uint32_t at_home = server_calls(table, home, now_ms);
-    uint32_t elsewhere = server_calls(table, other, now_ms);
-    return at_home >= server_slots(home) + SERVER_HOME_QUEUE && elsewhere + SERVER_LEAVE_CALLS <= at_home;
+    uint32_t home_requests = server_total_in_flight(table, home, now_ms);
+    uint32_t other_requests = server_total_in_flight(table, other, now_ms);
+    return home_requests >= server_slots(home) + SERVER_HOME_MAX_QUEUE &&
+           other_requests + SERVER_LEAVE_MARGIN_REQUESTS <= home_requests;
 }
 
-struct server *server_table_choose(struct server_table *table, uint64_t now_ms, const struct server_wish *wish)
+struct server *server_table_choose(struct server_table *table, uint64_t now_ms, const struct server_criteria *criteria)
 {
-    struct server *idlest = server_idlest(table, now_ms, wish, server_fits);
-    if (idlest == NULL) {
-        return server_idlest(table, now_ms, wish, server_may_do);
+    struct server *least_loaded = server_least_loaded(table, now_ms, criteria, server_is_eligible_and_reachable);
+    if (least_loaded == NULL) {
+        return server_least_loaded(table, now_ms, criteria, server_is_eligible);
     }
-    struct server *home = server_table_life(table, wish->home);
-    bool stays = home != NULL && server_fits(home, wish, now_ms) && !server_should_leave(table, home, idlest, now_ms);
-    return stays ? home : idlest;
+    struct server *home = server_table_find_incarnation(table, criteria->home);
+    bool stays = home != NULL && server_is_eligible_and_reachable(home, criteria, now_ms) &&
+                 !server_should_leave_home(table, home, least_loaded, now_ms);
+    return stays ? home : least_loaded;
 }
 
-struct server *server_table_starting(struct server_table *table, uint64_t now_ms, const struct server_wish *wish)
+struct server *server_table_choose_starting(struct server_table *table, uint64_t now_ms,
+                                            const struct server_criteria *criteria)
 {
     struct server *chosen = NULL;
     uint64_t highest = 0;
     table->rotation++;
     for (struct server *server = table->servers; server != NULL; server = server->hh.next) {
-        bool fits = text_equal(server->service, wish->service) && server_is_starting(server, now_ms) &&
-                    server_is_sound(server) && server_is_open(server, now_ms) && !server_was_tried(server, wish) &&
-                    server_region_is_allowed(server, wish);
-        uint64_t rank = fits ? server_rank(server, table->rotation) : 0;
-        if (fits && (chosen == NULL || rank > highest)) {
+        bool eligible = text_equal(server->service, criteria->service) && server_is_starting(server, now_ms) &&
+                        server_is_reachable(server) && server_accepts_requests(server, now_ms) &&
+                        !server_was_tried(server, criteria) && server_region_is_allowed(server, criteria);
+        uint64_t rank = eligible ? server_hash_rank(server, table->rotation) : 0;
+        if (eligible && (chosen == NULL || rank > highest)) {
             chosen = server;
             highest = rank;
         }
--- a/src/core/server_entries.h
+++ b/src/core/server_entries.h
@@ -1,20 +1,15 @@
 /**
  * @file server_entries.h
- * The entries of the platform's list that name no server, by kind, and which
- * of several entries for one server holds. Pure.
+ * Counts of invalid entries in the platform's server list, and removal of
+ * duplicates. Invalid entries are skipped. No I/O.
  *
- * An entry may come from another writer. It is left out and counted; the
- * others hold.
+ * Of entries with the same id, the one with the latest start time is used: only
+ * this incarnation can still run. If the start times are equal, the first entry is
+ * used, so that an entry appended later cannot replace that of a server.
  *
- * Where an id stands twice, the server that was born later holds: of two lives
- * under one id only the later one can still run. Where that does not tell them
- * apart, the entry that was read first holds, so that what is written behind a
- * server's entry cannot take its place.
- *
- * Where an address stands twice under different ids, both hold: a server that
- * has ended stays on the list for a while beside the one that got its address.
- * Only the server there can tell which one it is, and it does: it refuses, as
- * not run, what is meant for another id.
+ * Entries with the same address and different ids are all used: a server that has
+ * ended stays on the list for a while next to the one that reuses its address. A
+ * server refuses requests that are meant for another id.
  */
 #ifndef BANKBANK_CORE_SERVER_ENTRIES_H
 #define BANKBANK_CORE_SERVER_ENTRIES_H
@@ -24,30 +19,27 @@
 
 #include "control.pb.h"
 
-/** Why an entry names no server. */
 typedef enum server_entry_fault_t {
-    SERVER_ENTRY_GOOD,       /**< It names one. */
-    SERVER_ENTRY_UNREADABLE, /**< Its bytes cannot be read. */
-    SERVER_ENTRY_MISSING,    /**< It is no object, or lacks a field. */
-    SERVER_ENTRY_TYPE,       /**< A field has another type. */
-    SERVER_ENTRY_VALUE,      /**< A field is empty, out of its range, or not an address. */
-    SERVER_ENTRY_STATE,      /**< Its state is not known. */
-    SERVER_ENTRY_TWICE,      /**< Another entry with its id holds. */
-    SERVER_ENTRY_FAULTS
+    SERVER_ENTRY_VALID,
+    SERVER_ENTRY_UNREADABLE, /**< It cannot be parsed. */
+    SERVER_ENTRY_MISSING,    /**< It is not an object, or a field is missing. */
+    SERVER_ENTRY_TYPE,       /**< A field has the wrong type. */
+    SERVER_ENTRY_VALUE,      /**< A field is empty, out of range, or not a valid address. */
+    SERVER_ENTRY_STATE,      /**< Its state is unknown. */
+    SERVER_ENTRY_DUPLICATE,  /**< Another entry with the same id is used. */
+    SERVER_ENTRY_FAULT_COUNT
 } server_entry_fault_t;
 
-/** Entries that were left out, by fault. */
-typedef struct server_entries_left_t {
-    uint32_t counts[SERVER_ENTRY_FAULTS]; /**< How many; that of SERVER_ENTRY_GOOD is not used. */
-} server_entries_left_t;
+typedef struct server_entries_skipped_t {
+    uint32_t counts[SERVER_ENTRY_FAULT_COUNT]; /**< By fault; the one of SERVER_ENTRY_VALID is unused. */
+} server_entries_skipped_t;
 
-/** Orders the servers of a list by id and leaves out all but one of an id; `left` counts them. */
-void server_entries_settle(ServerList *list, server_entries_left_t *left);
+/** Sorts a list by id, removes all but one entry of each id and counts the removed ones in `skipped`. */
+void server_entries_deduplicate(ServerList *list, server_entries_skipped_t *skipped);
 
-/** All that were left out. */
-uint64_t server_entries_sum(const server_entries_left_t *left);
+uint64_t server_entries_skipped_total(const server_entries_skipped_t *skipped);
 
-/** The name of a fault. */
+/** Label of a fault in metrics and the log. */
 const char *server_entry_fault_name(server_entry_fault_t fault);
 
 #endif
--- a/src/core/server_list.c
+++ b/src/core/server_list.c
@@ -9,18 +9,18 @@
 #include "control.pb.h"
 
 enum {
-    SERVER_LIST_KEY = (ServerList_servers_tag << 3) | PB_WT_STRING,
+    SERVER_LIST_FIELD_KEY = (ServerList_servers_tag << 3) | PB_WT_STRING,
     SERVER_LIST_VARINT_BITS = 7,
-    SERVER_LIST_VARINT_MORE = 1 << SERVER_LIST_VARINT_BITS
+    SERVER_LIST_VARINT_CONTINUE = 1 << SERVER_LIST_VARINT_BITS
 };
 
-/* What an empty list begins with, so that it differs from none. */
-static const uint64_t SERVER_LIST_EMPTY = 1;
+/* Must differ from SERVER_LIST_NONE. The hashes of all records are added to it. */
+static const uint64_t SERVER_LIST_EMPTY_DIGEST = 1;
 
 /* ---- Encoded lists -------------------------------------------------------------- */
 
-/* The next length-delimited field `tag` of a message; false: there is none, or the message is damaged (`valid`). */
-static bool server_list_field(pb_istream_t *stream, uint32_t tag, struct view *value, bool *valid)
+/* Reads the next length-delimited field `tag`. False: there is none, or the message is not `valid`. */
+static bool server_list_read_field(pb_istream_t *stream, uint32_t tag, struct view *value, bool *valid)
 {
     while (stream->bytes_left > 0) {
         pb_wire_type_t type;
@@ -48,17 +48,17 @@
 {
     pb_istream_t stream = pb_istream_from_buffer(record.data, record.length);
     bool valid = true;
-    return server_list_field(&stream, ServerRecord_id_tag, id, &valid) && id->length > 0;
+    return server_list_read_field(&stream, ServerRecord_id_tag, id, &valid) && id->length > 0;
 }
 
-/* Whether every record of an encoded list can be read. */
+/* Whether all records of an encoded list can be decoded and have an id. */
 static bool server_list_is_valid(struct view encoded)
 {
     pb_istream_t stream = pb_istream_from_buffer(encoded.data, encoded.length);
     struct view record;
     struct view id;
     bool valid = true;
-    while (server_list_field(&stream, ServerList_servers_tag, &record, &valid)) {
+    while (server_list_read_field(&stream, ServerList_servers_tag, &record, &valid)) {
         if (!server_list_record_id(record, &id)) {
             return false;
         }
@@ -68,37 +68,37 @@
 
 static void server_list_append(const server_list_entry_t *entry, struct buffer *out)
 {
-    uint8_t head[1 + sizeof(uint64_t) * 2];
+    uint8_t header[1 + sizeof(uint64_t) * 2];
     size_t used = 0;
     size_t left = entry->length;
-    head[used++] = SERVER_LIST_KEY;
-    while (left >= SERVER_LIST_VARINT_MORE) {
-        head[used++] = (uint8_t)(left | SERVER_LIST_VARINT_MORE);
+    header[used++] = SERVER_LIST_FIELD_KEY;
+    while (left >= SERVER_LIST_VARINT_CONTINUE) {
+        header[used++] = (uint8_t)(left | SERVER_LIST_VARINT_CONTINUE);
         left >>= SERVER_LIST_VARINT_BITS;
     }
-    head[used++] = (uint8_t)left;
-    buffer_append(out, head, used);
+    header[used++] = (uint8_t)left;
+    buffer_append(out, header, used);
     buffer_append(out, entry->record, entry->length);
 }
 
 /* ---- Changes ---------------------------------------------------------------------- */
 
-static void server_list_drop_gone(server_list_t *list, size_t count)
+static void server_list_evict_removed(server_list_t *list, size_t count)
 {
     for (size_t i = 0; i < count; i++) {
-        list->oldest_change = list->gone[i].change;
-        free(list->gone[i].id);
+        list->oldest_change = list->removed[i].change;
+        free(list->removed[i].id);
     }
-    list->gone_count -= count;
-    memmove(list->gone, list->gone + count, list->gone_count * sizeof(list->gone[0]));
+    list->removed_count -= count;
+    memmove(list->removed, list->removed + count, list->removed_count * sizeof(list->removed[0]));
 }
 
 static void server_list_remove(server_list_t *list, server_list_entry_t *entry)
 {
-    if (list->gone_count == SERVER_LIST_GONE_MOST) {
-        server_list_drop_gone(list, SERVER_LIST_GONE_DROP);
+    if (list->removed_count == SERVER_LIST_REMOVED_MAX) {
+        server_list_evict_removed(list, SERVER_LIST_REMOVED_EVICTED);
     }
-    list->gone[list->gone_count++] = (server_list_gone_t){list->change, text_copy(entry->id)};
+    list->removed[list->removed_count++] = (server_list_removed_t){list->change, text_copy(entry->id)};
     list->digest -= entry->hash;
     list->bytes += strlen(entry->id);
     HASH_DEL(list->entries, entry);
@@ -106,7 +106,7 @@
     free(entry);
 }
 
-static server_list_entry_t *server_list_entry(server_list_t *list, struct view id)
+static server_list_entry_t *server_list_find_or_add(server_list_t *list, struct view id)
 {
     server_list_entry_t *entry = NULL;
     HASH_FIND(hh, list->entries, id.data, id.length, entry);
@@ -118,13 +118,13 @@
     return entry;
 }
 
-/* Returns whether the record differs from what was there. */
-static bool server_list_set(server_list_t *list, struct view record)
+/* Returns whether the record changed. */
+static bool server_list_set_record(server_list_t *list, struct view record)
 {
     struct view id;
     server_list_record_id(record, &id);
-    server_list_entry_t *entry = server_list_entry(list, id);
-    entry->seen = list->wholes;
+    server_list_entry_t *entry = server_list_find_or_add(list, id);
+    entry->last_full_list = list->full_lists;
     bool same = entry->length == record.length && memcmp(entry->record, record.data, record.length) == 0;
     if (same) {
         return false;
@@ -140,26 +140,26 @@
     return true;
 }
 
-static bool server_list_set_all(server_list_t *list, struct view encoded)
+static bool server_list_set_records(server_list_t *list, struct view encoded)
 {
     pb_istream_t stream = pb_istream_from_buffer(encoded.data, encoded.length);
     struct view record;
     bool valid = true;
     bool changed = false;
-    while (server_list_field(&stream, ServerList_servers_tag, &record, &valid)) {
-        changed = server_list_set(list, record) || changed;
+    while (server_list_read_field(&stream, ServerList_servers_tag, &record, &valid)) {
+        changed = server_list_set_record(list, record) || changed;
     }
     return changed;
 }
 
-static bool server_list_remove_unseen(server_list_t *list)
+static bool server_list_remove_unlisted(server_list_t *list)
 {
     server_list_entry_t *entry;
     server_list_entry_t *next;
     bool removed = false;
     HASH_ITER(hh, list->entries, entry, next)
     {
-        if (entry->seen != list->wholes) {
+        if (entry->last_full_list != list->full_lists) {
             server_list_remove(list, entry);
             removed = true;
         }
@@ -170,35 +170,35 @@
 static void server_list_begin_change(server_list_t *list)
 {
     list->change++;
-    list->digest = list->digest == SERVER_LIST_NONE ? SERVER_LIST_EMPTY : list->digest;
+    list->digest = list->digest == SERVER_LIST_NONE ? SERVER_LIST_EMPTY_DIGEST : list->digest;
 }
 
-static void server_list_note_version(server_list_t *list)
+static void server_list_record_version(server_list_t *list)
 {
     list->versions[list->change % SERVER_LIST_VERSIONS] =
         (server_list_version_t){list->digest, list->change, list->bytes};
 }
 
-bool server_list_put(server_list_t *list, struct view encoded)
+bool server_list_replace(server_list_t *list, struct view encoded)
 {
     bool first = list->digest == SERVER_LIST_NONE;
     if (!server_list_is_valid(encoded)) {
         return false;
     }
     server_list_begin_change(list);
-    list->wholes++;
-    bool set = server_list_set_all(list, encoded);
-    bool removed = server_list_remove_unseen(list);
+    list->full_lists++;
+    bool set = server_list_set_records(list, encoded);
+    bool removed = server_list_remove_unlisted(list);
     if (!first && !set && !removed) {
         list->change--;
         return false;
     }
-    server_list_note_version(list);
+    server_list_record_version(list);
     return true;
 }
 
-/* Who followed this list by its changes has to look at it whole. */
-static void server_list_forget(server_list_t *list)
+/* Keeps the change counter, so that callers that track changes have to read the full list. */
+static void server_list_reset(server_list_t *list)
 {
     uint64_t change = list->change;
     server_list_close(list);
@@ -206,33 +206,33 @@
     list->oldest_change = change + 1;
 }
 
-bool server_list_apply(server_list_t *list, uint64_t base, uint64_t digest, struct view records, char *const *gone,
-                       size_t gone_count)
+bool server_list_apply(server_list_t *list, uint64_t base, uint64_t digest, struct view records, char *const *removed,
+                       size_t removed_count)
 {
     if (base == SERVER_LIST_NONE || base != list->digest || !server_list_is_valid(records)) {
         return false;
     }
-    if (digest == base && records.length == 0 && gone_count == 0) {
+    if (digest == base && records.length == 0 && removed_count == 0) {
         return true;
     }
     server_list_begin_change(list);
-    for (size_t i = 0; i < gone_count; i++) {
+    for (size_t i = 0; i < removed_count; i++) {
         server_list_entry_t *entry = NULL;
-        HASH_FIND_STR(list->entries, text_or_empty(gone[i]), entry);
+        HASH_FIND_STR(list->entries, text_or_empty(removed[i]), entry);
         if (entry != NULL) {
             server_list_remove(list, entry);
         }
     }
-    server_list_set_all(list, records);
+    server_list_set_records(list, records);
     if (list->digest != digest) {
-        server_list_forget(list);
+        server_list_reset(list);
         return false;
     }
-    server_list_note_version(list);
+    server_list_record_version(list);
     return true;
 }
 
-/* ---- What is told ------------------------------------------------------------------- */
+/* ---- Distribution ------------------------------------------------------------------- */
 
 bool server_list_changes_since(const server_list_t *list, uint64_t change, server_list_changes_t *changes)
 {
@@ -245,17 +245,17 @@
             server_list_append(entry, &changes->records);
         }
     }
-    changes->gone = memory_new((list->gone_count + 1) * sizeof(*changes->gone));
-    for (size_t i = 0; i < list->gone_count; i++) {
-        if (list->gone[i].change > change) {
-            changes->gone[changes->gone_count++] = list->gone[i].id;
+    changes->removed = memory_new((list->removed_count + 1) * sizeof(*changes->removed));
+    for (size_t i = 0; i < list->removed_count; i++) {
+        if (list->removed[i].change > change) {
+            changes->removed[changes->removed_count++] = list->removed[i].id;
         }
     }
     return true;
 }
 
-/* NULL: it is not known any more. */
-static const server_list_version_t *server_list_version(const server_list_t *list, uint64_t digest)
+/* NULL: the version is unknown or its changes are no longer available. */
+static const server_list_version_t *server_list_find_version(const server_list_t *list, uint64_t digest)
 {
     for (size_t i = 0; i < SERVER_LIST_VERSIONS && digest != SERVER_LIST_NONE; i++) {
         const server_list_version_t *version = &list->versions[i];
@@ -266,40 +266,40 @@
     return NULL;
 }
 
-bool server_list_knows(const server_list_t *list, uint64_t digest)
+bool server_list_has_version(const server_list_t *list, uint64_t digest)
 {
-    return server_list_version(list, digest) != NULL;
+    return server_list_find_version(list, digest) != NULL;
 }
 
 uint64_t server_list_changes_bytes(const server_list_t *list, uint64_t digest)
 {
-    const server_list_version_t *version = server_list_version(list, digest);
+    const server_list_version_t *version = server_list_find_version(list, digest);
     return version == NULL ? 0 : list->bytes - version->bytes;
 }
 
-bool server_list_changes_to(const server_list_t *list, uint64_t digest, server_list_changes_t *changes)
+bool server_list_changes_since_digest(const server_list_t *list, uint64_t digest, server_list_changes_t *changes)
 {
-    const server_list_version_t *version = server_list_version(list, digest);
+    const server_list_version_t *version = server_list_find_version(list, digest);
     return server_list_changes_since(list, version == NULL ? 0 : version->change, changes);
 }
 
 void server_list_changes_close(server_list_changes_t *changes)
 {
     buffer_close(&changes->records);
-    free(changes->gone);
+    free(changes->removed);
     memset(changes, 0, sizeof(*changes));
 }
 
-struct view server_list_whole(server_list_t *list)
+struct view server_list_encoded(server_list_t *list)
 {
-    if (list->whole_change != list->change) {
-        buffer_clear(&list->whole);
+    if (list->encoded_change != list->change) {
+        buffer_clear(&list->encoded);
         for (const server_list_entry_t *entry = list->entries; entry != NULL; entry = entry->hh.next) {
-            server_list_append(entry, &list->whole);
+            server_list_append(entry, &list->encoded);
         }
-        list->whole_change = list->change;
+        list->encoded_change = list->change;
     }
-    return buffer_view(&list->whole);
+    return buffer_view(&list->encoded);
 }
 
 void server_list_close(server_list_t *list)
@@ -312,9 +312,9 @@
         free(entry->record);
         free(entry);
     }
-    for (size_t i = 0; i < list->gone_count; i++) {
-        free(list->gone[i].id);
+    for (size_t i = 0; i < list->removed_count; i++) {
+        free(list->removed[i].id);
     }
-    buffer_close(&list->whole);
+    buffer_close(&list->encoded);
     memset(list, 0, sizeof(*list));
 }
--- a/src/core/server_table.c
+++ b/src/core/server_table.c
@@ -9,67 +9,68 @@
 #include "base/message.h"
 #include "core/load_table.h"
 
-/* ---- Lives ----------------------------------------------------------------------------------- */
+/* ---- Incarnations ---------------------------------------------------------------------------- */
 
-static uint64_t server_hash_text(const char *text)
+static uint64_t server_text_hash(const char *text)
 {
     return XXH64(text, strlen(text), 0);
 }
 
-/* What tells lives of one id apart: the start or, where that is not known, address and service. */
-static uint64_t server_life_hash(const char *id, uint64_t born, const char *address, const char *service)
+/* By id and start time or, if that is unknown, by id, address and service. */
+static uint64_t server_incarnation_hash(const char *id, uint64_t started_unix_ms, const char *address,
+                                        const char *service)
 {
-    uint64_t material[4] = {server_hash_text(text_or_empty(id)), born,
-                            born != 0 ? 0 : server_hash_text(text_or_empty(address)),
-                            born != 0 ? 0 : server_hash_text(text_or_empty(service))};
-    return XXH64(material, sizeof(material), 0);
+    uint64_t key[4] = {server_text_hash(text_or_empty(id)), started_unix_ms,
+                       started_unix_ms != 0 ? 0 : server_text_hash(text_or_empty(address)),
+                       started_unix_ms != 0 ? 0 : server_text_hash(text_or_empty(service))};
+    return XXH64(key, sizeof(key), 0);
 }
 
-static void server_note_ended(struct server_table *table, const struct server *server)
+static void server_record_ended(struct server_table *table, const struct server *server)
 {
-    table->ended[table->ended_count++ % SERVER_ENDED_LIVES] =
-        server_life_hash(server->id, server->born, server->address, server->service);
+    table->ended[table->ended_total++ % SERVER_ENDED_MAX] =
+        server_incarnation_hash(server->id, server->started_unix_ms, server->address, server->service);
 }
 
-static void server_forget_late(struct server *server)
+static void server_drop_deferred(struct server *server)
 {
-    if (server->late != NULL) {
-        message_free(ServerRecord_fields, server->late);
-        free(server->late);
-        server->late = NULL;
-        server->late_ms = 0;
+    if (server->deferred != NULL) {
+        message_free(ServerRecord_fields, server->deferred);
+        free(server->deferred);
+        server->deferred = NULL;
+        server->deferred_ms = 0;
     }
 }
 
-static void server_release(struct server *server)
+static void server_free(struct server *server)
 {
-    server_forget_late(server);
+    server_drop_deferred(server);
     free(server->id);
-    free(server->life);
+    free(server->incarnation);
     free(server->service);
     free(server->address);
     free(server->zone);
     free(server);
 }
 
-static void server_free(struct server_table *table, struct server *server)
+static void server_remove(struct server_table *table, struct server *server)
 {
     HASH_DEL(table->servers, server);
-    server_note_ended(table, server);
-    server_release(server);
+    server_record_ended(table, server);
+    server_free(server);
 }
 
 void server_table_close(struct server_table *table)
 {
     while (table->servers != NULL) {
-        server_free(table, table->servers);
+        server_remove(table, table->servers);
     }
 }
 
-static bool server_has_ended(const struct server_table *table, const ServerRecord *record)
+static bool server_incarnation_has_ended(const struct server_table *table, const ServerRecord *record)
 {
-    uint64_t hash = server_life_hash(record->id, record->born, record->address, record->service);
-    uint32_t count = table->ended_count < SERVER_ENDED_LIVES ? table->ended_count : SERVER_ENDED_LIVES;
+    uint64_t hash = server_incarnation_hash(record->id, record->born, record->address, record->service);
+    uint32_t count = table->ended_total < SERVER_ENDED_MAX ? table->ended_total : SERVER_ENDED_MAX;
     for (uint32_t i = 0; i < count; i++) {
         if (table->ended[i] == hash) {
             return true;
@@ -78,23 +79,23 @@
     return false;
 }
 
-static bool server_is_life_of(const struct server *server, const ServerRecord *record)
+static bool server_is_same_incarnation(const struct server *server, const ServerRecord *record)
 {
-    bool born = server->born == record->born || server->born == 0 || record->born == 0;
-    return born && text_equal(server->address, record->address) && text_equal(server->service, record->service);
+    bool same_start = server->started_unix_ms == record->born || server->started_unix_ms == 0 || record->born == 0;
+    return same_start && text_equal(server->address, record->address) && text_equal(server->service, record->service);
 }
 
-/* The plain id where the start is not known: that is what earlier versions call it. */
-static void server_name_life(struct server *server)
+/* Without a start time the name is the plain id, as in earlier versions. */
+static void server_set_incarnation(struct server *server)
 {
     struct buffer name = {0};
     buffer_append_text(&name, server->id);
-    if (server->born != 0) {
-        buffer_printf(&name, "@%llu", (unsigned long long)server->born);
+    if (server->started_unix_ms != 0) {
+        buffer_printf(&name, "@%llu", (unsigned long long)server->started_unix_ms);
     }
-    free(server->life);
-    server->life = text_copy(buffer_text(&name));
-    server->hash = server_hash_text(server->life);
+    free(server->incarnation);
+    server->incarnation = text_copy(buffer_text(&name));
+    server->hash = server_text_hash(server->incarnation);
     buffer_close(&name);
 }
 
@@ -102,59 +103,60 @@
 {
     struct server *server = memory_new(sizeof(*server));
     server->id = text_copy(record->id);
-    server->born = record->born;
-    server_name_life(server);
+    server->started_unix_ms = record->born;
+    server_set_incarnation(server);
     server->service = text_copy(record->service);
     server->address = text_copy(record->address);
     server->zone = text_copy(record->zone);
-    server->region = zone_region(table->places, table->place_count, server->zone);
+    server->region = zone_region(table->zones, table->zone_count, server->zone);
     server->zone_drained = table->drained != NULL && zone_set_has(table->drained, server->zone);
     HASH_ADD_KEYPTR(hh, table->servers, server->id, strlen(server->id), server);
     return server;
 }
 
-static void server_forget_unlisted(struct server_table *table)
+static void server_remove_unlisted(struct server_table *table)
 {
     struct server *server;
     struct server *next;
     HASH_ITER(hh, table->servers, server, next)
     {
-        server->listed = server->listed && server->seen;
-        if (!server->listed && server->calls == 0) {
-            server_free(table, server);
+        server->listed = server->listed && server->in_update;
+        if (!server->listed && server->in_flight == 0) {
+            server_remove(table, server);
         }
     }
 }
 
-/* It keeps its calls until they end, and is found no more. */
-static void server_end_life(struct server_table *table, struct server *server)
+/* The server is freed when its last request has ended. */
+static void server_end_incarnation(struct server_table *table, struct server *server)
 {
     HASH_DEL(table->servers, server);
-    server->ended = true;
+    server->replaced = true;
     server->listed = false;
-    server_forget_late(server);
-    server_note_ended(table, server);
-    if (table->life_ended != NULL) {
-        table->life_ended(table->context, server);
+    server_drop_deferred(server);
+    server_record_ended(table, server);
+    if (table->on_replaced != NULL) {
+        table->on_replaced(table->context, server);
     }
-    if (server->calls == 0) {
-        server_release(server);
+    if (server->in_flight == 0) {
+        server_free(server);
     }
 }
 
-static struct server *server_begin_life(struct server_table *table, struct server *old, const ServerRecord *record)
+static struct server *server_replace_incarnation(struct server_table *table, struct server *old,
+                                                 const ServerRecord *record)
 {
-    server_end_life(table, old);
+    server_end_incarnation(table, old);
     struct server *server = server_add(table, record);
-    server->reborn = true;
+    server->has_predecessor = true;
     return server;
 }
 
-static void server_note_late(struct server *server, const ServerRecord *record)
+static void server_defer_record(struct server *server, const ServerRecord *record)
 {
-    server_forget_late(server);
-    server->late = memory_new(sizeof(*server->late));
-    *server->late = (ServerRecord){
+    server_drop_deferred(server);
+    server->deferred = memory_new(sizeof(*server->deferred));
+    *server->deferred = (ServerRecord){
         .id = text_copy(record->id),
         .service = text_copy(record->service),
         .address = text_copy(record->address),
@@ -165,59 +167,59 @@
     };
 }
 
-static void server_fill(struct server *server, const ServerRecord *record)
+static void server_apply_record(struct server *server, const ServerRecord *record)
 {
-    if (server->born == 0 && record->born != 0) {
-        server->born = record->born;
-        server_name_life(server);
+    if (server->started_unix_ms == 0 && record->born != 0) {
+        server->started_unix_ms = record->born;
+        server_set_incarnation(server);
     }
-    server_forget_late(server);
+    server_drop_deferred(server);
     server->listed = true;
-    server->seen = true;
+    server->in_update = true;
     server->slots = record->slots;
     server->draining = server->draining || record->draining;
     server->starting = record->cold_ms > 0;
 }
 
-static struct server *server_of_id(const struct server_table *table, const char *id)
+static struct server *server_find(const struct server_table *table, const char *id)
 {
     struct server *server = NULL;
     HASH_FIND_STR(table->servers, text_or_empty(id), server);
     return server;
 }
 
-static void server_take_record(struct server_table *table, const ServerRecord *record)
+static void server_put_record(struct server_table *table, const ServerRecord *record)
 {
-    struct server *server = server_of_id(table, record->id);
+    struct server *server = server_find(table, record->id);
     if (server == NULL) {
         server = server_add(table, record);
-    } else if (!server_is_life_of(server, record)) {
-        if (server_has_ended(table, record)) {
-            server_note_late(server, record);
-            server->seen = true;
+    } else if (!server_is_same_incarnation(server, record)) {
+        if (server_incarnation_has_ended(table, record)) {
+            server_defer_record(server, record);
+            server->in_update = true;
             return;
         }
-        server = server_begin_life(table, server, record);
+        server = server_replace_incarnation(table, server, record);
     }
-    server_fill(server, record);
+    server_apply_record(server, record);
 }
 
-void server_table_review(struct server_table *table, uint64_t now_ms)
+void server_table_apply_deferred(struct server_table *table, uint64_t now_ms)
 {
     struct server *server;
     struct server *next;
     HASH_ITER(hh, table->servers, server, next)
     {
-        ServerRecord *late = server->late;
-        if (late == NULL) {
+        ServerRecord *deferred = server->deferred;
+        if (deferred == NULL) {
             continue;
         }
-        server->late_ms = server->late_ms == 0 ? now_ms : server->late_ms;
-        if (now_ms >= server->late_ms + SERVER_LATE_MS) {
-            server->late = NULL;
-            server_fill(server_begin_life(table, server, late), late);
-            message_free(ServerRecord_fields, late);
-            free(late);
+        server->deferred_ms = server->deferred_ms == 0 ? now_ms : server->deferred_ms;
+        if (now_ms >= server->deferred_ms + SERVER_DEFER_MS) {
+            server->deferred = NULL;
+            server_apply_record(server_replace_incarnation(table, server, deferred), deferred);
+            message_free(ServerRecord_fields, deferred);
+            free(deferred);
         }
     }
 }
@@ -227,29 +229,30 @@
 void server_table_update(struct server_table *table, const ServerList *list)
 {
     for (struct server *server = table->servers; server != NULL; server = server->hh.next) {
-        server->seen = false;
+        server->in_update = false;
     }
     for (pb_size_t i = 0; i < list->servers_count; i++) {
-        server_take_record(table, &list->servers[i]);
+        server_put_record(table, &list->servers[i]);
     }
-    server_forget_unlisted(table);
+    server_remove_unlisted(table);
 }
 
-void server_table_change(struct server_table *table, char *const *gone, size_t gone_count, const ServerList *changed)
+void server_table_apply_changes(struct server_table *table, char *const *removed, size_t removed_count,
+                                const ServerList *changed)
 {
-    for (size_t i = 0; i < gone_count; i++) {
-        struct server *server = server_of_id(table, gone[i]);
+    for (size_t i = 0; i < removed_count; i++) {
+        struct server *server = server_find(table, removed[i]);
         if (server == NULL) {
             continue;
         }
         server->listed = false;
-        server_forget_late(server);
-        if (server->calls == 0) {
-            server_free(table, server);
+        server_drop_deferred(server);
+        if (server->in_flight == 0) {
+            server_remove(table, server);
         }
     }
     for (pb_size_t i = 0; i < changed->servers_count; i++) {
-        server_take_record(table, &changed->servers[i]);
+        server_put_record(table, &changed->servers[i]);
     }
 }
 
@@ -264,38 +267,37 @@
 
 bool server_is_starting(const struct server *server, uint64_t now_ms)
 {
-    bool returned = server->returned_ms != 0 && now_ms < server->returned_ms + SERVER_RETURN_MS;
+    bool returned = server->returned_ms != 0 && now_ms < server->returned_ms + SERVER_RETURNED_MS;
     return server->starting || returned;
 }
 
-bool server_leaves(const struct server *server)
+bool server_is_leaving(const struct server *server)
 {
-    return !server->listed || server->draining || server->misplaced;
+    return !server->listed || server->draining || server->address_reused;
 }
 
-bool server_is_closed(const struct server *server)
+bool server_is_out_of_rotation(const struct server *server)
 {
-    return server_leaves(server) || server->zone_drained;
+    return server_is_leaving(server) || server->zone_drained;
 }
 
 bool server_is_gone(const struct server *server)
 {
-    return server_leaves(server) || server->vacant || reach_is_gone(&server->reach);
+    return server_is_leaving(server) || server->not_listening || reach_is_dead(&server->reach);
 }
 
-/* Requests there of all gateways, as far as they are known now. */
-uint32_t server_calls(const struct server_table *table, const struct server *server, uint64_t now_ms)
+uint32_t server_total_in_flight(const struct server_table *table, const struct server *server, uint64_t now_ms)
 {
-    bool told = now_ms < table->loads_until_ms;
-    return server->calls + (told ? server->others : 0);
+    bool valid = now_ms < table->loads_until_ms;
+    return server->in_flight + (valid ? server->other_in_flight : 0);
 }
 
-/* Share of failures as this gateway or several others see it: one other alone may have a bad way to it. */
-uint32_t server_failures(const struct server_table *table, const struct server *server, uint64_t now_ms)
+/* The shares seen by others count in part: a single gateway may have a bad connection to the server. */
+uint32_t server_failure_share(const struct server_table *table, const struct server *server, uint64_t now_ms)
 {
     uint32_t own = health_share(&server->health, now_ms);
-    bool told = now_ms < table->loads_until_ms;
-    uint32_t others = told ? server->others_failed / SERVER_WITNESSES : 0;
+    bool valid = now_ms < table->loads_until_ms;
+    uint32_t others = valid ? server->other_failures / SERVER_FAILURE_OBSERVERS : 0;
     others = others > HEALTH_ONE ? HEALTH_ONE : others;
     return own > others ? own : others;
 }
@@ -307,22 +309,23 @@
 
 bool server_is_busy(const struct server_table *table, const struct server *server, uint64_t now_ms)
 {
-    return server_calls(table, server, now_ms) > server_slots(server);
+    return server_total_in_flight(table, server, now_ms) > server_slots(server);
 }
 
-/* A plain id, as earlier versions stored it, names the only life that is known here. */
-struct server *server_table_life(const struct server_table *table, const char *life)
+/* Earlier versions stored the plain id for all incarnations: it matches one with a start time only if that is the first
+ * one known here. */
+struct server *server_table_find_incarnation(const struct server_table *table, const char *incarnation)
 {
-    struct server *server = server_of_id(table, life);
-    const char *start = strrchr(text_or_empty(life), '@');
+    struct server *server = server_find(table, incarnation);
+    const char *start = strrchr(text_or_empty(incarnation), '@');
     if (server != NULL) {
-        return server->reborn && server->born != 0 ? NULL : server;
+        return server->has_predecessor && server->started_unix_ms != 0 ? NULL : server;
     }
     if (start == NULL) {
         return NULL;
     }
-    HASH_FIND(hh, table->servers, life, (size_t)(start - life), server);
-    return server != NULL && text_equal(server->life, life) ? server : NULL;
+    HASH_FIND(hh, table->servers, incarnation, (size_t)(start - incarnation), server);
+    return server != NULL && text_equal(server->incarnation, incarnation) ? server : NULL;
 }
 
 static int server_compare_loads(const void *a, const void *b)
@@ -332,21 +335,21 @@
     return left < right ? -1 : left > right ? 1 : 0;
 }
 
-void server_table_take_loads(struct server_table *table, uint64_t now_ms, const LoadTotals *totals)
+void server_table_set_other_loads(struct server_table *table, uint64_t now_ms, const LoadTotals *totals)
 {
     uint64_t valid_ms = (uint64_t)totals->loads_ms * LOAD_VALID_PERIODS;
     table->loads_until_ms = now_ms + (valid_ms > SERVER_LOADS_VALID_MS ? valid_ms : SERVER_LOADS_VALID_MS);
-    bool any = totals->loads_count > 0; /* no list at all where there is nothing under way */
-    if (any) {
+    bool has_loads = totals->loads_count > 0; /* otherwise `loads` may be NULL */
+    if (has_loads) {
         qsort(totals->loads, totals->loads_count, sizeof(*totals->loads), server_compare_loads);
     }
     for (struct server *server = table->servers; server != NULL; server = server->hh.next) {
         ServerLoad wanted = {.server = server->hash};
-        const ServerLoad *told =
-            any ? bsearch(&wanted, totals->loads, totals->loads_count, sizeof(*totals->loads), server_compare_loads)
-                : NULL;
-        server->others = told == NULL ? 0 : told->calls;
-        server->others_failed = told == NULL ? 0 : told->failures;
+        const ServerLoad *load = has_loads ? bsearch(&wanted, totals->loads, totals->loads_count,
+                                                     sizeof(*totals->loads), server_compare_loads)
+                                           : NULL;
+        server->other_in_flight = load == NULL ? 0 : load->calls;
+        server->other_failures = load == NULL ? 0 : load->failures;
     }
 }
 
@@ -357,55 +360,55 @@
     for (const struct server *server = table->servers; server != NULL; server = server->hh.next) {
         uint32_t share = health_share(&server->health, now_ms);
         uint32_t failures = health_is_bad(share) ? share : 0;
-        if (server->calls > 0 || failures > 0) {
+        if (server->in_flight > 0 || failures > 0) {
             report->loads[report->loads_count++] =
-                (ServerLoad){.server = server->hash, .calls = server->calls, .failures = failures};
+                (ServerLoad){.server = server->hash, .calls = server->in_flight, .failures = failures};
         }
     }
 }
 
-static bool server_has_room(const struct server_table *table, const struct server *server, uint64_t now_ms)
+static bool server_has_free_slot(const struct server_table *table, const struct server *server, uint64_t now_ms)
 {
-    return server_calls(table, server, now_ms) < server_slots(server);
+    return server_total_in_flight(table, server, now_ms) < server_slots(server);
 }
 
-void server_refused(const struct server_table *table, struct server *server, uint64_t now_ms)
+void server_record_refused(const struct server_table *table, struct server *server, uint64_t now_ms)
 {
-    server->full_until_ms = now_ms + SERVER_SHED_PAUSE_MS;
-    if (server_has_room(table, server, now_ms)) {
-        health_note(&server->health, now_ms, HEALTH_REFUSED);
+    server->full_until_ms = now_ms + SERVER_FULL_PAUSE_MS;
+    if (server_has_free_slot(table, server, now_ms)) {
+        health_record(&server->health, now_ms, HEALTH_REFUSED);
     }
 }
 
-void server_unanswered(const struct server_table *table, struct server *server, uint64_t now_ms)
+void server_record_unanswered(const struct server_table *table, struct server *server, uint64_t now_ms)
 {
-    if (server_has_room(table, server, now_ms)) {
-        health_note(&server->health, now_ms, HEALTH_UNANSWERED);
+    if (server_has_free_slot(table, server, now_ms)) {
+        health_record(&server->health, now_ms, HEALTH_UNANSWERED);
     }
 }
 
-void server_heard(struct server *server, uint64_t now_ms)
+void server_record_received(struct server *server, uint64_t now_ms)
 {
-    server->heard_ms = now_ms;
-    server->returned_ms = server->vacant ? now_ms : server->returned_ms;
-    server->vacant = false;
-    reach_note_heard(&server->reach);
+    server->last_activity_ms = now_ms;
+    server->returned_ms = server->not_listening ? now_ms : server->returned_ms;
+    server->not_listening = false;
+    reach_record_received(&server->reach);
 }
 
-void server_begin(struct server *server, uint64_t now_ms)
+void server_begin_request(struct server *server, uint64_t now_ms)
 {
-    if (server->calls == 0) {
-        server->heard_ms = now_ms;
+    if (server->in_flight == 0) {
+        server->last_activity_ms = now_ms;
     }
-    server->calls++;
+    server->in_flight++;
 }
 
-void server_end(struct server_table *table, struct server *server)
+void server_end_request(struct server_table *table, struct server *server)
 {
-    server->calls--;
-    if (server->ended && server->calls == 0) {
-        server_release(server);
-    } else if (!server->listed && server->calls == 0) {
-        server_free(table, server);
+    server->in_flight--;
+    if (server->replaced && server->in_flight == 0) {
+        server_free(server);
+    } else if (!server->listed && server->in_flight == 0) {
+        server_remove(table, server);
     }
 }
