--- a/src/core/server_table.h
+++ b/src/core/server_table.h
@@ -1,41 +1,37 @@
 /**
  * @file server_table.h
- * The servers that a gateway knows, their health as its own traffic shows it,
- * and the choice among them. Pure.
+ * The servers known to a gateway, their health as seen in its own traffic, and
+ * the choice of a server for a request. No I/O; callers pass the time.
  *
- * A server may start again under its id, and then knows nothing of before. A
- * `struct server` is one life, told by id and start. Another address or service
- * shows another life too, also where the start is not told. With the next life all
- * that is known begins anew; the old one is kept aside until its calls end. A life
- * that tells its start only after a while is the same one.
+ * Incarnations: a server that restarts under its id has lost all of its state. A
+ * `struct server` is one incarnation, identified by id and start time. A different
+ * address or service also means a different incarnation; a start time that becomes
+ * known later does not. A replaced incarnation is kept until its requests have
+ * ended.
  *
- * Starts say nothing of the order of lives, since clocks may go back. Lists have
- * an order, but each may lag more than the one before. So news of a life that
- * has ended here is late and changes nothing, as long as it does not stand for
- * SERVER_LATE_MS: then it was the other one that was wrong.
+ * Start times do not order incarnations, because clocks may be set back, and a
+ * list may be older than the previous one. A record of an incarnation that has
+ * already ended here is therefore deferred as stale, and applied only if it
+ * persists for SERVER_DEFER_MS.
  *
- * A server that leaves, or whose zone is drained (zone_set.h), gets nothing new,
- * whatever else speaks for it; the latter works on what it has. A list
- * that lags may still show a server that has answered as another one; that
- * life is not used again.
+ * A server that is leaving or whose zone is drained (zone_set.h) gets no new
+ * requests under any circumstances; in a drained zone it completes the ones it
+ * has. A server is also no longer used after another one has answered at its
+ * address, even if a stale list still contains it.
  *
- * A server that has just started is used last, and only with a token (slow_start.h),
- * where its service names a rate for such servers. What the list tells of it lags:
- * one that comes back into use after it could not be reached, or when its zone is
- * opened again, counts as just started for SERVER_RETURN_MS, by when the list
- * tells it.
+ * A server that has just started is used last and only with a token, if its
+ * service configures a start rate (slow_start.h). Lists report a start with a
+ * delay. A server that becomes reachable again, or whose zone is opened again,
+ * therefore counts as just started for SERVER_RETURNED_MS.
  *
- * A program stays at its home, which keeps its conversation, until the queue
- * there costs more than reading the conversation anew elsewhere. Reading 3,600
- * tokens at 65 a millisecond stops a batch of 8 for 55 ms: 440 ms of requests.
- * A place in a queue costs 30 ms where turns take 240 ms on 8 slots: about 15
- * places. Left for less, homes feed an overload: each program that leaves is read
- * anew, which makes the queue that the next one leaves for.
+ * Home: the server that has a program's conversation cached. A program leaves it
+ * only when queueing there costs more than processing the conversation again
+ * elsewhere. Leaving early amplifies an overload: programs that move are processed
+ * again, which lengthens the queues that make others move.
  *
- * Requests about one object go to one server, as long as that is not much
- * busier than others: rendezvous hashing with bounded loads (Thaler and
- * Ravishankar 1998; Mirrokni, Thorup and Zadimoghaddam 2018). A server that has
- * lately seen an object works faster on it.
+ * Requests with the same affinity key go to one server, which then processes them
+ * faster, unless it is much busier than others: rendezvous hashing with bounded
+ * loads (Thaler and Ravishankar 1998; Mirrokni, Thorup and Zadimoghaddam 2018).
  */
 #ifndef BANKBANK_CORE_SERVER_TABLE_H
 #define BANKBANK_CORE_SERVER_TABLE_H
@@ -52,161 +48,164 @@
 #include "core/route_table.h"
 #include "core/zone_set.h"
 
+/* Constants named ..._REQUESTS are costs, in units of in-flight requests. */
 enum {
-    SERVER_BINDS = 2,            /**< What names regions for one request: its route and its tenant. */
-    SERVER_MAX_TRIED = 8,        /**< Servers one request remembers as tried. */
-    SERVER_SHED_PAUSE_MS = 30,   /**< Time a server that was full is passed over. */
-    SERVER_HOME_QUEUE = 16,      /**< Requests beyond its slots that a program's home may have: see below. */
-    SERVER_COLD_CALLS = 2,       /**< Requests that opening a connection counts as. */
-    SERVER_REMOTE_CALLS = 2,     /**< Requests that a server in another zone counts as. */
-    SERVER_FAILING_QUEUE = 2,    /**< Slots' worth of calls that failures count as, at most. */
-    SERVER_WITNESSES = 2,        /**< Other gateways whose shares of failures together count as one's own. */
-    SERVER_LEAVE_CALLS = 16,     /**< Requests that the home must have more than another one to be left. */
-    SERVER_OBJECT_CALLS = 3,     /**< Requests that a server which has not seen the request's object counts as. */
-    SERVER_LOADS_VALID_MS = 700, /**< Time the loads of other gateways count at least. */
-    SERVER_ENDED_LIVES = 512,    /**< Lives that are known to have ended. */
-    SERVER_RETURN_MS = 2500,     /**< Time for the list to tell that a server which returns has started: its lag (0.8 s
-                                      on all sheets), two readings and the way. */
-    SERVER_LATE_MS = 15000       /**< Longer than the platform's list lags. */
+    SERVER_REGION_RULES = 2,     /**< Per request: one of its route and one of its tenant. */
+    SERVER_MAX_TRIED = 8,        /**< Tried servers that are remembered per request. */
+    SERVER_FULL_PAUSE_MS = 30,   /**< A server is skipped for this time after it refused a request. */
+    SERVER_HOME_MAX_QUEUE = 16,  /**< A home with fewer requests beyond its slots is not left because of its load. */
+    SERVER_CONNECT_REQUESTS = 2, /**< Cost of opening a connection. */
+    SERVER_REMOTE_ZONE_REQUESTS = 2,   /**< Cost of a server in another zone. */
+    SERVER_FAILURE_MAX_FACTOR = 2,     /**< Maximum cost of failures, as a multiple of the slots. */
+    SERVER_FAILURE_OBSERVERS = 2,      /**< The sum of the other gateways' failure shares is divided by this. */
+    SERVER_LEAVE_MARGIN_REQUESTS = 16, /**< A busy home is left only for a server with this many fewer requests. */
+    SERVER_AFFINITY_MISS_REQUESTS = 3, /**< Cost of a server that is not preferred for the affinity key. */
+    SERVER_LOADS_VALID_MS = 700,       /**< Minimum lifetime of the loads of other gateways. */
+    SERVER_ENDED_MAX = 512,            /**< Ended incarnations that are remembered. */
+    SERVER_RETURNED_MS = 2500, /**< Covers the delay until the list reports a start: lag, two reads, delivery. */
+    SERVER_DEFER_MS = 15000    /**< Longer than the platform's list lags behind. */
 };
 
-/** One life of a server. */
+/** One incarnation of a server. */
 struct server {
-    char *id;                /**< Id, which other lives may have too. */
-    char *life;              /**< Name of this life: the id and, where it is known, @ and the start. */
-    uint64_t born;           /**< Unix ms of its start, 0: not told. */
-    bool reborn;             /**< Another life with its id was known here before. */
-    bool ended;              /**< Another life has its id now. */
-    ServerRecord *late;      /**< News of a life that has ended here, or NULL. */
-    uint64_t late_ms;        /**< Time of that news, 0: not noted yet. */
-    char *service;           /**< Service it belongs to. */
-    char *address;           /**< IP:PORT. */
-    char *zone;              /**< Zone. */
-    const char *region;      /**< Region of that zone, kept by the caller; NULL: not known. */
-    uint32_t slots;          /**< Requests it works on at once. */
-    bool draining;           /**< It leaves. */
-    bool zone_drained;       /**< Its zone is drained. */
-    bool starting;           /**< The list shows that it has just started. */
-    uint64_t returned_ms;    /**< Time at which it came back into use, 0: never. */
-    bool told_starting;      /**< Whether the log last told that it counts as just started. */
-    bool listed;             /**< It is on the newest list. */
-    bool seen;               /**< The whole list that is looked at has its id. */
-    bool misplaced;          /**< Another server answered at its address. */
-    bool vacant;             /**< Nothing listened at its address: it has ended. */
-    uint32_t calls;          /**< Own requests under way there. */
-    uint32_t others;         /**< Requests of other gateways there, as told last. */
-    uint32_t others_failed;  /**< Sum of the shares of failures that they see, as told last. */
-    uint64_t heard_ms;       /**< Time it was heard last, or got a request while it had none. */
-    uint64_t full_until_ms;  /**< Passed over until then, after it refused. */
-    health_t health;         /**< How often it fails. */
-    prefix_table_t prefixes; /**< Shared prompt parts that it keeps, as sent from here. */
-    reach_t reach;           /**< Whether it can be reached. */
-    bool told_failing;       /**< Whether the log last told that it fails. */
-    uint64_t hash;           /**< Of its life's name. */
-    UT_hash_handle hh;       /**< By id. */
+    char *id;                 /**< Shared by all incarnations of the server. */
+    char *incarnation;        /**< Name of this incarnation: the id, followed by @ and the start time if known. */
+    uint64_t started_unix_ms; /**< 0: unknown. */
+    bool has_predecessor;     /**< Another incarnation of the server was known here before. */
+    bool replaced;            /**< Another incarnation has replaced it. */
+    ServerRecord *deferred;   /**< Deferred record of an ended incarnation of the server, or NULL. */
+    uint64_t deferred_ms;     /**< When server_table_apply_deferred() first saw the record; 0: not yet. */
+    char *service;
+    char *address; /**< IP:PORT. */
+    char *zone;
+    const char *region; /**< Of the zone, owned by the caller; NULL: unknown. */
+    uint32_t slots;     /**< Requests it processes concurrently; 0: unknown. */
+    bool draining;      /**< The list has reported that it is leaving; never reset. */
+    bool zone_drained;
+    bool starting;             /**< The list reports that it has just started. */
+    uint64_t returned_ms;      /**< When it last became reachable again or its zone was opened; 0: never. */
+    bool logged_starting;      /**< It was last logged as starting. */
+    bool listed;               /**< It is on the current list. */
+    bool in_update;            /**< Its id is in the full list that is being applied. */
+    bool address_reused;       /**< Another server answered at its address. */
+    bool not_listening;        /**< Its address refused a connection: it has ended. */
+    uint32_t in_flight;        /**< In-flight requests of this gateway. */
+    uint32_t other_in_flight;  /**< In-flight requests of other gateways, as last reported. */
+    uint32_t other_failures;   /**< Sum of the failure shares seen by other gateways, as last reported. */
+    uint64_t last_activity_ms; /**< When it last sent data, or got a request while it had none in flight. */
+    uint64_t full_until_ms;    /**< It is skipped until then. */
+    health_t health;
+    prefix_table_t prefixes;
+    reach_t reach;
+    bool logged_failing; /**< It was last logged as failing. */
+    uint64_t hash;       /**< Of `incarnation`. */
+    UT_hash_handle hh;   /**< By id. */
 };
 
-/** Tells that another life has the id of `server` now. */
-typedef void (*server_life_ended)(void *context, const struct server *server);
+/** Called when `server` is replaced by another incarnation of the same server. */
+typedef void (*server_replaced_callback)(void *context, const struct server *server);
 
-/** All servers. */
 struct server_table {
-    struct server *servers;             /**< By id: the life that each has now. */
-    uint32_t rotation;                  /**< Breaks ties. */
-    uint64_t ended[SERVER_ENDED_LIVES]; /**< Hashes of lives that have ended, a ring. */
-    uint32_t ended_count;               /**< Those so far. */
-    server_life_ended life_ended;       /**< Receiver, or NULL. */
-    void *context;                      /**< Its first argument. */
-    const zone_place_t *places;         /**< Zones and their regions, kept by the caller. */
-    size_t place_count;                 /**< Number of those. */
-    const zone_set_t *drained;          /**< Drained zones, kept by the caller; NULL: none. */
-    uint64_t loads_until_ms;            /**< Time until which the loads of other gateways count. */
+    struct server *servers;               /**< By id; current incarnations. */
+    uint32_t rotation;                    /**< Counter for breaking ties. */
+    uint64_t ended[SERVER_ENDED_MAX];     /**< Hashes of ended incarnations, a ring. */
+    uint32_t ended_total;                 /**< Ended incarnations so far. */
+    server_replaced_callback on_replaced; /**< Or NULL. */
+    void *context;                        /**< First argument of `on_replaced`. */
+    const zone_info_t *zones;             /**< Owned by the caller. */
+    size_t zone_count;
+    const zone_set_t *drained; /**< Drained zones, owned by the caller; NULL: none. */
+    uint64_t loads_until_ms;   /**< When the loads of other gateways expire. */
 };
 
-/** A request to place. */
-struct server_wish {
-    const char *service;                          /**< Service. */
-    const char *zone;                             /**< The gateway's zone. */
-    const route_regions_t *regions[SERVER_BINDS]; /**< Regions that may be used: all of these bind; NULL: any. */
-    const prefix_chain_t *chain;                  /**< Shared parts of its prompt, or NULL. */
-    const prefix_cost_t *cost;                    /**< What a call costs on average; with `chain`. */
-    const char *home;                             /**< Life that keeps the program's prompt, or NULL. */
-    uint64_t object;                              /**< Hash of the object that it is about, 0: none. */
-    /** Whether a token is held for a server that has just started; NULL: such servers are used as others are. */
-    bool (*may_start)(void *context, const struct server *server);
-    const struct server *tried[SERVER_MAX_TRIED];     /**< Not these. */
-    uint32_t tried_count;                             /**< Number of those. */
-    bool (*warm)(void *context, const char *address); /**< Whether a connection rests there; NULL: unknown. */
-    void *context;                                    /**< Its first argument. */
+/** Criteria for choosing the server of a request. */
+struct server_criteria {
+    const char *service;                                      /**< NULL: no backend of the route is chosen. */
+    const char *zone;                                         /**< The gateway's zone. */
+    const route_regions_t *region_rules[SERVER_REGION_RULES]; /**< All of them must allow the region; NULL: any. */
+    const prefix_chain_t *chain;                              /**< Shared parts of the prompt, or NULL. */
+    const prefix_cost_t *cost;                                /**< Average cost of a request; required with `chain`. */
+    const char *home;                                         /**< Incarnation that is the program's home, or NULL. */
+    uint64_t affinity_key;                                    /**< Hash of the request's affinity key; 0: none. */
+    /** Whether there is a token for a server that has just started; NULL: no slow start for the service. */
+    bool (*has_start_token)(void *context, const struct server *server);
+    const struct server *tried[SERVER_MAX_TRIED]; /**< Servers already tried, which are excluded. */
+    uint32_t tried_count;
+    /** Whether there is an idle connection to an address; NULL: unknown. */
+    bool (*has_idle_connection)(void *context, const char *address);
+    void *context; /**< First argument of the callbacks. */
 };
 
-/** Frees everything. */
 void server_table_close(struct server_table *table);
 
-/** Takes a new list. */
+/** Applies a full list. */
 void server_table_update(struct server_table *table, const ServerList *list);
 
-/** Takes what changed since the list before: servers that left it, then those that came or changed. */
-void server_table_change(struct server_table *table, char *const *gone, size_t gone_count, const ServerList *changed);
+/** Applies changes to the list: first the removed servers, then the added and changed ones. */
+void server_table_apply_changes(struct server_table *table, char *const *removed, size_t removed_count,
+                                const ServerList *changed);
 
-/** To be called when the drained zones have changed. */
+/** Must be called after the drained zones have changed. */
 void server_table_zones_changed(struct server_table *table, uint64_t now_ms);
 
 /** Whether a server counts as just started. */
 bool server_is_starting(const struct server *server, uint64_t now_ms);
 
-/** A server that may be used but for the token that a starting one needs; a different one each time. NULL: none. */
-struct server *server_table_starting(struct server_table *table, uint64_t now_ms, const struct server_wish *wish);
+/** Chooses pseudo-randomly among just started servers that meet all criteria but the token; NULL: none. */
+struct server *server_table_choose_starting(struct server_table *table, uint64_t now_ms,
+                                            const struct server_criteria *criteria);
 
-/** Whether the wish's service has servers, but each stands in a drained zone or in a region that the wish bars. */
-bool server_table_bars(const struct server_table *table, const struct server_wish *wish);
+/** Whether the service has servers that are not leaving, all of them in drained zones or in regions not allowed. */
+bool server_table_all_excluded(const struct server_table *table, const struct server_criteria *criteria);
 
-/** Whether a server gets nothing new: it leaves, is not on the list, or its zone is drained. */
-bool server_is_closed(const struct server *server);
+/** Whether a server gets no new requests: it is leaving or its zone is drained. */
+bool server_is_out_of_rotation(const struct server *server);
 
-/** The life with a name (`life` of struct server), or NULL where it has ended. */
-struct server *server_table_life(const struct server_table *table, const char *life);
+/** The server whose current incarnation has this name, or NULL. */
+struct server *server_table_find_incarnation(const struct server_table *table, const char *incarnation);
 
-/** Takes news of lives that has stood for so long that it is not late. */
-void server_table_review(struct server_table *table, uint64_t now_ms);
+/** Applies deferred records that have persisted for SERVER_DEFER_MS. Must be called regularly. */
+void server_table_apply_deferred(struct server_table *table, uint64_t now_ms);
 
-/** Takes what other gateways have under way. */
-void server_table_take_loads(struct server_table *table, uint64_t now_ms, const LoadTotals *totals);
+/** Sets the loads of the other gateways. Sorts `totals->loads`. */
+void server_table_set_other_loads(struct server_table *table, uint64_t now_ms, const LoadTotals *totals);
 
-/** Fills what this gateway has under way and sees failing; free `report->loads`. */
+/** Fills the in-flight requests and failures of this gateway; the caller frees `report->loads`. */
 void server_table_report_loads(const struct server_table *table, uint64_t now_ms, LoadReport *report);
 
-/** Chooses a server, or NULL if none may be used. */
-struct server *server_table_choose(struct server_table *table, uint64_t now_ms, const struct server_wish *wish);
+/** NULL if no server is eligible. */
+struct server *server_table_choose(struct server_table *table, uint64_t now_ms, const struct server_criteria *criteria);
 
-/** Whether a server has ended, leaves or is gone (reach.h): a run there is out of the count of those that a route
- * allows. */
+/**
+ * Whether a server is leaving (as is a replaced incarnation), is `not_listening` or is dead (reach.h): it no longer
+ * counts for `max_attempts` of a route.
+ */
 bool server_is_gone(const struct server *server);
 
-/** Whether a service has a server that may be used by a request with a wish, whose own service is not looked at. */
-bool server_table_serves(const struct server_table *table, uint64_t now_ms, const char *service,
-                         const struct server_wish *wish);
+/** Whether a service has a server that accepts requests in an allowed region; ignores the service in `criteria`. */
+bool server_table_has_available(const struct server_table *table, uint64_t now_ms, const char *service,
+                                const struct server_criteria *criteria);
 
-/** Notes that a request was sent to a server; a second time there counts once. */
-void server_wish_note_tried(struct server_wish *wish, const struct server *server);
+/** Excludes a server from further choices; a repeated one is stored once. */
+void server_criteria_add_tried(struct server_criteria *criteria, const struct server *server);
 
-/** Notes begin and end of a request. The server may be freed by the end. */
-void server_begin(struct server *server, uint64_t now_ms);
-void server_end(struct server_table *table, struct server *server);
+/** Start and end of a request. server_end_request() may free the server. */
+void server_begin_request(struct server *server, uint64_t now_ms);
+void server_end_request(struct server_table *table, struct server *server);
 
-/** Whether a server has more requests under way than it works on at once, as far as is known. */
+/** Whether a server has more in-flight requests, of all gateways, than slots. */
 bool server_is_busy(const struct server_table *table, const struct server *server, uint64_t now_ms);
 
-/** Share of failures of a server, as this gateway or several others see it, of HEALTH_ONE. */
-uint32_t server_failures(const struct server_table *table, const struct server *server, uint64_t now_ms);
+/** The share seen by this gateway or, if higher, by the others (SERVER_FAILURE_OBSERVERS), in 1 / HEALTH_ONE. */
+uint32_t server_failure_share(const struct server_table *table, const struct server *server, uint64_t now_ms);
 
-/** Notes that a server refused a request: it is passed over for a moment. */
-void server_refused(const struct server_table *table, struct server *server, uint64_t now_ms);
+/** The server is skipped for SERVER_FULL_PAUSE_MS; recorded as HEALTH_REFUSED if it has free slots. */
+void server_record_refused(const struct server_table *table, struct server *server, uint64_t now_ms);
 
-/** Notes that a server has left a request without an answer for long; a queue there excuses it. */
-void server_unanswered(const struct server_table *table, struct server *server, uint64_t now_ms);
+/** A response is overdue; recorded as HEALTH_UNANSWERED if the server has free slots. */
+void server_record_unanswered(const struct server_table *table, struct server *server, uint64_t now_ms);
 
-/** Notes that something came from a server; one whose address was vacant has started since. */
-void server_heard(struct server *server, uint64_t now_ms);
+/** Records that a server sent data; if its address refused connections before, it counts as just started. */
+void server_record_received(struct server *server, uint64_t now_ms);
 
 #endif
--- a/src/core/site_state.c
+++ b/src/core/site_state.c
@@ -14,15 +14,15 @@
     free((void *)(uintptr_t)state->document.content.data);
     turn_store_close(&state->turns);
     budget_table_close(&state->budgets);
-    for (uint32_t i = 0; i < state->retired_count; i++) {
-        free(state->retired[i]);
+    for (uint32_t i = 0; i < state->retiring_count; i++) {
+        free(state->retiring_machines[i]);
     }
-    free(state->retired);
+    free(state->retiring_machines);
     zone_set_close(&state->drained);
     memset(state, 0, sizeof(*state));
 }
 
-/* The highest version holds; a lower or equal one is acknowledged and changes nothing. */
+/* Only a higher version replaces the document; others are acknowledged without effect. */
 static void site_put_document(struct site_state *state, const DocumentPut *put, EntryResult *result)
 {
     if (put->version > state->document.version) {
@@ -33,7 +33,7 @@
     result->revision = state->document.version;
 }
 
-/* The result lends the name of the back end that keeps the program's prompt. */
+/* The result borrows the name of the back end that caches the program's prompt. */
 static void site_begin_turn(struct site_state *state, const TurnBegin *begin, EntryResult *result)
 {
     if (!budget_table_reserve(&state->budgets, state->time_ms, begin)) {
@@ -63,10 +63,10 @@
     }
 }
 
-bool site_state_is_retired(const struct site_state *state, const char *machine)
+bool site_state_is_retiring(const struct site_state *state, const char *machine)
 {
-    for (uint32_t i = 0; i < state->retired_count; i++) {
-        if (text_equal(state->retired[i], machine)) {
+    for (uint32_t i = 0; i < state->retiring_count; i++) {
+        if (text_equal(state->retiring_machines[i], machine)) {
             return true;
         }
     }
@@ -75,14 +75,15 @@
 
 static void site_start_retire(struct site_state *state, const RetireStart *start)
 {
-    if (site_state_is_retired(state, start->machine)) {
+    if (site_state_is_retiring(state, start->machine)) {
         return;
     }
-    state->retired = memory_resize(state->retired, (state->retired_count + 1) * sizeof(*state->retired));
-    state->retired[state->retired_count++] = text_copy(start->machine);
+    state->retiring_machines =
+        memory_resize(state->retiring_machines, (state->retiring_count + 1) * sizeof(*state->retiring_machines));
+    state->retiring_machines[state->retiring_count++] = text_copy(start->machine);
 }
 
-/* A zone that is so already is acknowledged: an order may come again. */
+/* Idempotent: a zone that is already in the requested state is acknowledged. */
 static void site_drain_zone(struct site_state *state, const ZoneDrain *drain, EntryResult *result)
 {
     if (zone_set_put(&state->drained, text_or_empty(drain->zone), drain->drained) == ZONE_SET_FULL) {
@@ -93,17 +94,17 @@
 
 static void site_expire(struct site_state *state)
 {
-    if (state->time_ms < state->expired_ms + SITE_EXPIRE_PERIOD_MS) {
+    if (state->time_ms < state->last_sweep_ms + SITE_EXPIRE_PERIOD_MS) {
         return;
     }
-    state->expired_ms = state->time_ms;
+    state->last_sweep_ms = state->time_ms;
     turn_store_expire(&state->turns, state->time_ms);
     budget_table_expire(&state->budgets, state->time_ms);
 }
 
-bool site_state_apply(struct site_state *state, uint64_t stamp_ms, const Entry *entry, EntryResult *result)
+bool site_state_apply(struct site_state *state, uint64_t timestamp_ms, const Entry *entry, EntryResult *result)
 {
-    state->time_ms = stamp_ms > state->time_ms ? stamp_ms : state->time_ms;
+    state->time_ms = timestamp_ms > state->time_ms ? timestamp_ms : state->time_ms;
     site_expire(state);
     switch (entry->which_command) {
     case Entry_document_put_tag: site_put_document(state, &entry->command.document_put, result); return true;
@@ -124,20 +125,20 @@
 {
     memset(snapshot, 0, sizeof(*snapshot));
     snapshot->time_ms = state->time_ms;
-    snapshot->expired_ms = state->expired_ms;
+    snapshot->expired_ms = state->last_sweep_ms;
     snapshot->has_document = true;
     snapshot->document.version = state->document.version;
     snapshot->document.content = state->document.content;
-    snapshot->retired = state->retired;
-    snapshot->retired_count = (pb_size_t)state->retired_count;
+    snapshot->retired = state->retiring_machines;
+    snapshot->retired_count = (pb_size_t)state->retiring_count;
     snapshot->has_drained = state->drained.revision > 0;
-    zone_set_tell(&state->drained, &snapshot->drained);
+    zone_set_export(&state->drained, &snapshot->drained);
 }
 
 void site_state_import(struct site_state *state, const SiteSnapshot *snapshot)
 {
     state->time_ms = snapshot->time_ms;
-    state->expired_ms = snapshot->expired_ms;
+    state->last_sweep_ms = snapshot->expired_ms;
     if (snapshot->has_document) {
         struct view content = snapshot->document.content;
         state->document.version = snapshot->document.version;
@@ -153,5 +154,5 @@
         RetireStart start = {.machine = snapshot->retired[i]};
         site_start_retire(state, &start);
     }
-    zone_set_take(&state->drained, &snapshot->drained);
+    zone_set_update(&state->drained, &snapshot->drained);
 }
--- a/src/core/site_state.h
+++ b/src/core/site_state.h
@@ -1,12 +1,12 @@
 /**
  * @file site_state.h
- * What group 0 replicates for a site's gateways besides operators' resources:
- * the configuration document, turns of conversations, budgets of programs, the
- * machines that are to be emptied and the zones that are drained.
+ * State that group 0 replicates for the gateways, besides the resources of
+ * config_store.h: the configuration document, conversation turns, program
+ * budgets, machines being retired and drained zones.
  *
- * Its clock is the stamps of the entries and never goes back, so that a
- * leader whose wall clock jumps cannot bring turns back to life; leaders stamp
- * from a steady clock (see replica_config.steady_stamps).
+ * Time is the highest timestamp of the applied entries. It never goes back, so
+ * that a wall clock jump makes no expired turn valid again; see also
+ * replica_config.monotonic_timestamps.
  */
 #ifndef BANKBANK_CORE_SITE_STATE_H
 #define BANKBANK_CORE_SITE_STATE_H
@@ -16,47 +16,45 @@
 #include "core/zone_set.h"
 
 enum {
-    SITE_TURN_SLACK_MS = 10 * 1000, /**< Turns stay this much longer than asked for. */
-    SITE_EXPIRE_PERIOD_MS = 1000    /**< Least time between two sweeps. */
+    SITE_TURN_SLACK_MS = 10 * 1000, /**< Turns are kept this much longer than requested. */
+    SITE_EXPIRE_PERIOD_MS = 1000
 };
 
 /** The configuration document. */
 struct site_document {
-    uint64_t version;    /**< 0: none yet. */
-    struct view content; /**< Opaque text, owned. */
+    uint64_t version;    /**< 0: no document yet. */
+    struct view content; /**< Uninterpreted, owned. */
 };
 
-/** All of it. */
 struct site_state {
-    uint64_t time_ms;              /**< Latest stamp. */
-    uint64_t expired_ms;           /**< Time of the last sweep. */
-    struct site_document document; /**< Configuration. */
-    struct turn_store turns;       /**< Conversations. */
-    struct budget_table budgets;   /**< Budgets. */
-    char **retired;                /**< Machines to be emptied, owned names. */
-    uint32_t retired_count;        /**< Number of those. */
-    zone_set_t drained;            /**< Zones whose back ends get nothing new. */
+    uint64_t time_ms;       /**< Highest timestamp applied. */
+    uint64_t last_sweep_ms; /**< `time_ms` at the last expiry sweep. */
+    struct site_document document;
+    struct turn_store turns;
+    struct budget_table budgets;
+    char **retiring_machines; /**< Names of machines being retired, owned. */
+    uint32_t retiring_count;
+    zone_set_t drained; /**< Zones whose back ends get no new requests. */
 };
 
-/** Starts an empty state, whose turns keep their texts in `history`; all zero is one that holds them in memory. */
+/** Initializes an empty state. The texts of turns are stored in `history`, or in memory if it is all zero. */
 void site_state_init(struct site_state *state, const struct history_io *history);
 
-/** Frees everything. */
 void site_state_close(struct site_state *state);
 
-/** Applies an entry stamped `stamp_ms`; false: it is not of this kind. */
-bool site_state_apply(struct site_state *state, uint64_t stamp_ms, const Entry *entry, EntryResult *result);
+/** Returns false if the command is not one of site_state's. `result` borrows its strings from the state. */
+bool site_state_apply(struct site_state *state, uint64_t timestamp_ms, const Entry *entry, EntryResult *result);
 
-/** Whether a machine is to be emptied. */
-bool site_state_is_retired(const struct site_state *state, const char *machine);
+/** Whether the retirement of a machine has started; its replica may not have left the group yet. */
+bool site_state_is_retiring(const struct site_state *state, const char *machine);
 
-/** Memory that grows with the traffic: the index of turns, and budgets. */
+/** Bytes of memory that grow with traffic: the index of turns, and the budgets. */
 size_t site_state_bytes(const struct site_state *state);
 
-/** Fills a snapshot that borrows from the state: all but turns and budgets, which have records of their own. */
+/** Fills a snapshot that borrows from the state. It lacks turns and budgets, which have records of their own. */
 void site_state_export(const struct site_state *state, SiteSnapshot *snapshot);
 
-/** Loads such a snapshot, or one of an older version with turns and budgets, into an empty state. */
+/** Loads a snapshot into an empty state; snapshots of older versions contain turns and budgets as well. */
 void site_state_import(struct site_state *state, const SiteSnapshot *snapshot);
 
 #endif
--- a/src/core/slow_start.h
+++ b/src/core/slow_start.h
@@ -1,26 +1,27 @@
 /**
  * @file slow_start.h
- * How many requests servers get that have just started, over all gateways. Pure.
+ * Rate limit over all gateways for requests to servers that have just started and
+ * would fail under their full load. No I/O; callers pass the time.
  *
- * A server that starts is slow for some seconds, and falls over well above the
- * requests a second that its service's configuration names. No gateway knows
- * what the others send it, and a share for each (the rate divided by the
- * gateways) is less than one request a second where there are a hundred of them.
- * So the leader gives out tokens, one for each request, as for limits of tenants
- * (quota_table.h): whoever is cut off from it sends such servers nothing. A
- * token is good for QUOTA_HELD_MS from the ask for it, until the request has
- * left.
+ * An equal share for each of many gateways would be less than one request per
+ * second. The leader therefore grants tokens, one per request, as for the limits
+ * of tenants (quota_table.h); a gateway without a connection to the leader sends
+ * such servers nothing. A request must be sent within QUOTA_LEASE_MS of the
+ * token request.
  *
- * Bound: limit = overshoot x rate + slack requests arrive in any second. A
- * server's bucket holds SLOW_START_ROOM_PERCENT of the limit, and a new leader's
- * begins with SLOW_START_BEGIN_PERCENT of it, so that two changes of leader fit
- * into a second; the rest is given out at a rate that leaves room for tokens that
- * are used late: rate = (limit - room - 2 x begin) / (1 s + QUOTA_HELD_MS + way).
+ * At most limit = overshoot x rate + slack requests arrive in any second. The
+ * bucket of a server holds SLOW_START_CAPACITY_PERCENT of the limit and is half
+ * full at a new leader (QUOTA_START_PERCENT / QUOTA_BURST_PERCENT). The refill rate
+ * leaves room for two changes of leader in one second, with
+ * SLOW_START_INITIAL_PERCENT of the limit each, and for tokens that are used late:
  *
- * Gateways use such servers last (server_table.h), and ask only while the others
- * are busy or there are none, SLOW_START_ASK_MS apart at least, and no more often
- * than the leader lets them report loads: what it takes a second does not grow
- * with the gateways (load_table.h).
+ *   refill = (limit - bucket - 2 x initial) / (1 s + QUOTA_LEASE_MS + SLOW_START_TRANSIT_MS)
+ *
+ * Gateways prefer other servers (server_table.h) and request tokens only while
+ * those are busy or there are none: at intervals of at least
+ * SLOW_START_REQUEST_INTERVAL_MS, and no more often than they may report loads
+ * (load_table.h). The leader's work per second therefore does not grow with the
+ * number of gateways.
  */
 #ifndef BANKBANK_CORE_SLOW_START_H
 #define BANKBANK_CORE_SLOW_START_H
@@ -30,33 +31,34 @@
 #include "core/quota_table.h"
 
 enum {
-    SLOW_START_ASK_MS = 50,       /**< Least pause between two asks of a gateway. */
-    SLOW_START_WAY_MS = 50,       /**< Way of a request to its server, at most. */
-    SLOW_START_ROOM_PERCENT = 15, /**< Part of the limit that a bucket holds. */
-    SLOW_START_BEGIN_PERCENT = 7, /**< Part of it that a new leader's buckets begin with, at most. */
-    SLOW_START_IDLE_MS = 2000     /**< Time without an ask after which a bucket is forgotten; it is full after 0.3 s. */
+    SLOW_START_REQUEST_INTERVAL_MS = 50, /**< Minimum interval between a gateway's token requests. */
+    SLOW_START_TRANSIT_MS = 50,          /**< Maximum time from sending a request to its arrival at the server. */
+    SLOW_START_CAPACITY_PERCENT = 15,    /**< Bucket size, in percent of the limit. */
+    SLOW_START_INITIAL_PERCENT = 7,      /**< Reserve for each change of leader, in percent of the limit. */
+    SLOW_START_IDLE_MS = 2000            /**< Idle time after which a bucket is removed; it is full by then. */
 };
 
-/** By how much operators let the rate be exceeded; all zero: by nothing. */
-typedef struct slow_start_bounds_t {
-    double overshoot; /**< Multiple of the rate; 0: 1. */
-    double slack;     /**< Requests in a second on top of it. */
-} slow_start_bounds_t;
+/** By how much the rate may be exceeded; all zero: not at all. */
+typedef struct slow_start_tolerance_t {
+    double overshoot; /**< Factor on the rate; 0 means 1. */
+    double slack;     /**< Additional requests in a second. */
+} slow_start_tolerance_t;
 
-/** The leader's buckets; all zero: of a new leader. */
+/** The buckets of the leader; all zero: a new leader. */
 typedef struct slow_start_table_t {
-    quota_table_t tokens;   /**< By the hash of a server's life. */
-    uint64_t forget_due_ms; /**< Next look for those that nobody asks for any more. */
+    quota_table_t tokens;    /**< By the hash of a server's incarnation. */
+    uint64_t removal_due_ms; /**< Time of the next removal of idle buckets. */
 } slow_start_table_t;
 
-/** Requests that may arrive at a server in any second, where its service names `rate_per_s`. */
-double slow_start_limit(const slow_start_bounds_t *bounds, double rate_per_s);
+/** Maximum number of requests that may arrive at a server in any second. */
+double slow_start_limit(const slow_start_tolerance_t *tolerance, double rate_per_s);
 
 /**
- * Answers an ask for tokens of servers (`tenant` is the hash of a server's life, `service` that of its service's
- * name) by the rates in `routes`; a server whose service has no rate gets all that is asked. Free `grant->shares`.
+ * Answers a token request by the rates in `routes`. In the messages, `tenant` is the hash of a server's
+ * incarnation, `service` that of its service's name. All tokens are granted for a service without a rate.
+ * The caller frees `grant->shares`.
  */
 void slow_start_answer(slow_start_table_t *table, uint64_t now_ms, const struct route_table *routes,
-                       const slow_start_bounds_t *bounds, const QuotaAsk *ask, QuotaGrant *grant);
+                       const slow_start_tolerance_t *tolerance, const QuotaAsk *ask, QuotaGrant *grant);
 
 #endif
--- a/src/core/state_machine.c
+++ b/src/core/state_machine.c
@@ -25,11 +25,11 @@
     ledger_close(&machine->ledger);
 }
 
-void state_machine_stamp(uint64_t wall_ms, uint8_t flags, struct view entry, struct buffer *out)
+void state_machine_stamp(uint64_t timestamp_ms, uint8_t flags, struct view entry, struct buffer *out)
 {
     uint8_t stamp[STATE_STAMP_LENGTH];
     for (int i = 0; i < 8; i++) {
-        stamp[i] = (uint8_t)(wall_ms >> (8 * i));
+        stamp[i] = (uint8_t)(timestamp_ms >> (8 * i));
     }
     stamp[8] = flags;
     buffer_append(out, stamp, sizeof(stamp));
@@ -38,11 +38,11 @@
 
 static uint64_t state_machine_stamp_time(struct view data)
 {
-    uint64_t wall_ms = 0;
+    uint64_t timestamp_ms = 0;
     for (int i = 0; i < 8; i++) {
-        wall_ms |= (uint64_t)data.data[i] << (8 * i);
+        timestamp_ms |= (uint64_t)data.data[i] << (8 * i);
     }
-    return wall_ms;
+    return timestamp_ms;
 }
 
 uint8_t state_machine_flags(const struct state_machine *machine, const struct lease_table *leases, struct view entry)
@@ -54,8 +54,9 @@
     uint8_t flags = 0;
     if (decoded.which_command == Entry_call_begin_tag) {
         struct ledger_program *program = ledger_find(&machine->ledger, decoded.command.call_begin.program);
-        bool runs = program != NULL && ledger_running_call(program) != NULL;
-        if (runs && lease_table_is_over(leases, program->running.gateway, program->running.gateway_epoch)) {
+        bool has_running_call = program != NULL && ledger_running_call(program) != NULL;
+        if (has_running_call &&
+            lease_table_has_ended(leases, program->running.gateway, program->running.gateway_epoch)) {
             flags |= STATE_FLAG_OWNER_EXPIRED;
         }
     }
@@ -63,10 +64,10 @@
     return flags;
 }
 
-static void state_machine_apply_config(struct state_machine *machine, uint64_t stamp_ms, const Entry *entry,
+static void state_machine_apply_config(struct state_machine *machine, uint64_t timestamp_ms, const Entry *entry,
                                        EntryResult *result)
 {
-    if (site_state_apply(&machine->site, stamp_ms, entry, result)) {
+    if (site_state_apply(&machine->site, timestamp_ms, entry, result)) {
         return;
     }
     switch (entry->which_command) {
@@ -99,7 +100,7 @@
 
 /* ---- Snapshots ----------------------------------------------------------------- */
 
-/* All but turns and budgets. */
+/* Exports everything except turns and budgets, which have records of their own. */
 static void state_export_head(const struct state_machine *machine, struct buffer *out)
 {
     StateSnapshot snapshot = {0};
@@ -141,7 +142,7 @@
     struct buffer record = {0};
     state_export_head(machine, &record);
     bool written = state_stream_begin(sink) && state_stream_put(sink, STATE_RECORD_HEAD, buffer_view(&record));
-    /* The hash keeps the order of insertion, in which parents come first. */
+    /* The hash table iterates in insertion order, which has parents before children. */
     for (const struct turn *turn = machine->site.turns.turns; written && turn != NULL; turn = turn->hh.next) {
         buffer_clear(&record);
         turn_export(turn, &record);
@@ -180,24 +181,25 @@
 
 void state_machine_read_end(struct state_machine *machine)
 {
-    turn_store_order(&machine->site.turns);
+    turn_store_sort_by_expiry(&machine->site.turns);
 }
 
-/* A ledger's head names its texts by place on one machine, and holds them between machines. */
+/* Converts the head record of a ledger. The result contains the texts if `with_text`, else references to the history
+ * store. */
 static bool state_convert_ledger(uint32_t group, const struct history_io *history, struct view payload, bool with_text,
                                  struct buffer *out)
 {
-    struct state_machine scratch;
+    struct state_machine temporary;
     StateSnapshot snapshot = {0};
-    state_machine_init(&scratch, group, history);
-    bool read = state_import_head(&scratch, payload);
+    state_machine_init(&temporary, group, history);
+    bool read = state_import_head(&temporary, payload);
     if (read) {
-        ledger_export(&scratch.ledger, with_text, &snapshot);
+        ledger_export(&temporary.ledger, with_text, &snapshot);
         read = message_encode(out, StateSnapshot_fields, &snapshot);
         message_free(StateSnapshot_fields, &snapshot);
     }
-    ledger_clear(&scratch.ledger);
-    state_machine_close(&scratch);
+    ledger_clear(&temporary.ledger);
+    state_machine_close(&temporary);
     return read;
 }
 
@@ -216,8 +218,8 @@
         break;
     case STATE_RECORD_BUDGET: break;
     }
-    bool same = kind == STATE_RECORD_BUDGET || (kind == STATE_RECORD_HEAD && group == STATE_CONFIG_GROUP);
-    bool put = (same || done) && state_stream_put(sink, kind, same ? payload : buffer_view(&converted));
+    bool unchanged = kind == STATE_RECORD_BUDGET || (kind == STATE_RECORD_HEAD && group == STATE_CONFIG_GROUP);
+    bool put = (unchanged || done) && state_stream_put(sink, kind, unchanged ? payload : buffer_view(&converted));
     buffer_close(&converted);
     return put;
 }
@@ -234,8 +236,7 @@
     return state_record_convert(group, history, kind, payload, false, sink);
 }
 
-/* Sub-programs share the part of the id before the dash with their root, so
- * that a whole tree lives in one group. */
+/* Sub-programs have their root's id before the dash, which keeps a tree of programs in one group. */
 uint32_t state_machine_group_of(const char *program_id, uint32_t groups)
 {
     const char *dash = strchr(program_id, '-');
--- a/src/core/state_stream.c
+++ b/src/core/state_stream.c
@@ -4,7 +4,7 @@
 
 enum { STATE_MAGIC_BYTES = 4 };
 
-/* The first byte begins no protobuf message. */
+/* No valid protobuf message starts with 0xff, which distinguishes streams from snapshots of older versions. */
 static const uint8_t STATE_MAGIC[STATE_MAGIC_BYTES] = {0xff, 'B', 'K', 'S'};
 
 static void state_put_u32(uint8_t *out, uint32_t value)
@@ -34,68 +34,68 @@
 
 void state_reader_feed(state_reader_t *reader, struct view bytes)
 {
-    buffer_consume(&reader->held, reader->at);
-    reader->at = 0;
-    buffer_append(&reader->held, bytes.data, bytes.length);
+    buffer_consume(&reader->buffer, reader->offset);
+    reader->offset = 0;
+    buffer_append(&reader->buffer, bytes.data, bytes.length);
 }
 
 void state_reader_finish(state_reader_t *reader)
 {
-    reader->finished = true;
+    reader->end_of_input = true;
 }
 
-/* Looks at the first bytes; false: not enough of them came. */
-static bool state_reader_begin(state_reader_t *reader)
+/* Detects the format from the first bytes; false: more bytes are needed. */
+static bool state_reader_detect_format(state_reader_t *reader)
 {
-    if (reader->begun) {
+    if (reader->started) {
         return true;
     }
-    if (reader->held.length < STATE_MAGIC_BYTES && !reader->finished) {
+    if (reader->buffer.length < STATE_MAGIC_BYTES && !reader->end_of_input) {
         return false;
     }
-    reader->begun = true;
-    reader->older =
-        reader->held.length < STATE_MAGIC_BYTES || memcmp(reader->held.data, STATE_MAGIC, STATE_MAGIC_BYTES) != 0;
-    reader->at = reader->older ? 0 : STATE_MAGIC_BYTES;
+    reader->started = true;
+    reader->legacy_format =
+        reader->buffer.length < STATE_MAGIC_BYTES || memcmp(reader->buffer.data, STATE_MAGIC, STATE_MAGIC_BYTES) != 0;
+    reader->offset = reader->legacy_format ? 0 : STATE_MAGIC_BYTES;
     return true;
 }
 
-/* All of it is one record. */
-static bool state_reader_next_older(state_reader_t *reader, state_record_t *record)
+/* Without magic, the whole stream is one record. */
+static bool state_reader_next_legacy(state_reader_t *reader, state_record_t *record)
 {
-    bool there = reader->finished && reader->at < reader->held.length;
+    bool available = reader->end_of_input && reader->offset < reader->buffer.length;
     record->kind = STATE_RECORD_HEAD;
-    record->payload = buffer_view(&reader->held);
-    reader->at = there ? reader->held.length : reader->at;
-    return there;
+    record->payload = buffer_view(&reader->buffer);
+    reader->offset = available ? reader->buffer.length : reader->offset;
+    return available;
 }
 
 bool state_reader_next(state_reader_t *reader, state_record_t *record)
 {
-    if (!state_reader_begin(reader)) {
+    if (!state_reader_detect_format(reader)) {
         return false;
     }
-    if (reader->older) {
-        return state_reader_next_older(reader, record);
+    if (reader->legacy_format) {
+        return state_reader_next_legacy(reader, record);
     }
-    size_t left = reader->held.length - reader->at;
-    const uint8_t *header = reader->held.data + reader->at;
+    size_t left = reader->buffer.length - reader->offset;
+    const uint8_t *header = reader->buffer.data + reader->offset;
     if (left < STATE_RECORD_HEADER_BYTES || left - STATE_RECORD_HEADER_BYTES < state_get_u32(header)) {
         return false;
     }
     record->kind = (state_record_kind_t)state_get_u32(header + 4);
     record->payload = view_of(header + STATE_RECORD_HEADER_BYTES, state_get_u32(header));
-    reader->at += STATE_RECORD_HEADER_BYTES + record->payload.length;
+    reader->offset += STATE_RECORD_HEADER_BYTES + record->payload.length;
     return true;
 }
 
-bool state_reader_is_whole(const state_reader_t *reader)
+bool state_reader_is_complete(const state_reader_t *reader)
 {
-    return reader->begun && reader->at == reader->held.length;
+    return reader->started && reader->offset == reader->buffer.length;
 }
 
 void state_reader_close(state_reader_t *reader)
 {
-    buffer_close(&reader->held);
+    buffer_close(&reader->buffer);
     memset(reader, 0, sizeof(*reader));
 }
--- a/src/core/turn_rank.c
+++ b/src/core/turn_rank.c
@@ -5,5 +5,5 @@
     if (!busy) {
         return TURN_RANK_DEFAULT;
     }
-    return first ? TURN_RANK_FIRST : TURN_RANK_UNDER_WAY;
+    return first ? TURN_RANK_FIRST : TURN_RANK_CONTINUED;
 }
--- a/src/core/turn_record.c
+++ b/src/core/turn_record.c
@@ -5,23 +5,23 @@
 
 #include "base/message.h"
 
-/* Start of a record on this machine; id, parent and a held text follow. */
-struct turn_record_head {
+/* Start of a record in local form, followed by tenant (if any), id, parent and in-memory text. */
+struct turn_record_header {
     uint64_t expires_ms;
-    uint64_t offset; /* stored text: its place */
+    uint64_t offset; /* of the text in `segment`, for TURN_TEXT_IN_HISTORY */
     uint32_t segment;
     uint32_t length;
     uint32_t input_length;
     uint32_t id_length;
     uint32_t parent_length;
-    uint32_t kind; /* turn_text_kind_t; with TURN_RECORD_TENANT the tenant follows the head */
+    uint32_t kind; /* turn_text_kind_t, with TURN_RECORD_HAS_TENANT if the tenant follows */
 };
 
-enum { TURN_RECORD_TENANT = 1 << 16 };
+enum { TURN_RECORD_HAS_TENANT = 1 << 16 };
 
 void turn_record_encode(const turn_record_t *record, struct buffer *out)
 {
-    struct turn_record_head head = {
+    struct turn_record_header header = {
         .expires_ms = record->expires_ms,
         .length = record->text.length,
         .input_length = record->text.input_length,
@@ -29,50 +29,50 @@
         .parent_length = (uint32_t)record->parent.length,
         .kind = record->text.kind,
     };
-    if (record->text.kind == TURN_TEXT_STORED) {
-        head.offset = record->text.at.stored.offset;
-        head.segment = record->text.at.stored.segment;
+    if (record->text.kind == TURN_TEXT_IN_HISTORY) {
+        header.offset = record->text.at.ref.offset;
+        header.segment = record->text.at.ref.segment;
     }
-    head.kind |= record->tenant != 0 ? TURN_RECORD_TENANT : 0;
-    buffer_append(out, &head, sizeof(head));
+    header.kind |= record->tenant != 0 ? TURN_RECORD_HAS_TENANT : 0;
+    buffer_append(out, &header, sizeof(header));
     buffer_append(out, &record->tenant, record->tenant != 0 ? sizeof(record->tenant) : 0);
     buffer_append(out, record->id.data, record->id.length);
     buffer_append(out, record->parent.data, record->parent.length);
-    if (record->text.kind == TURN_TEXT_HELD) {
-        buffer_append(out, record->text.at.held, record->text.length);
+    if (record->text.kind == TURN_TEXT_IN_MEMORY) {
+        buffer_append(out, record->text.at.bytes, record->text.length);
     }
 }
 
 bool turn_record_decode(struct view data, turn_record_t *record)
 {
-    struct turn_record_head head;
-    if (data.length < sizeof(head)) {
+    struct turn_record_header header;
+    if (data.length < sizeof(header)) {
         return false;
     }
-    memcpy(&head, data.data, sizeof(head));
-    size_t tenant_length = (head.kind & TURN_RECORD_TENANT) != 0 ? sizeof(record->tenant) : 0;
-    head.kind &= ~(uint32_t)TURN_RECORD_TENANT;
-    bool held = head.kind == TURN_TEXT_HELD;
-    uint64_t expected = sizeof(head) + tenant_length + (uint64_t)head.id_length + head.parent_length +
-                        (held ? (uint64_t)head.length : 0);
-    bool valid = data.length == expected && head.input_length <= head.length;
+    memcpy(&header, data.data, sizeof(header));
+    size_t tenant_length = (header.kind & TURN_RECORD_HAS_TENANT) != 0 ? sizeof(record->tenant) : 0;
+    header.kind &= ~(uint32_t)TURN_RECORD_HAS_TENANT;
+    bool in_memory = header.kind == TURN_TEXT_IN_MEMORY;
+    uint64_t expected = sizeof(header) + tenant_length + (uint64_t)header.id_length + header.parent_length +
+                        (in_memory ? (uint64_t)header.length : 0);
+    bool valid = data.length == expected && header.input_length <= header.length;
     if (!valid) {
         return false;
     }
-    const uint8_t *body = data.data + sizeof(head) + tenant_length;
+    const uint8_t *body = data.data + sizeof(header) + tenant_length;
     record->tenant = 0;
-    memcpy(&record->tenant, data.data + sizeof(head), tenant_length);
-    record->id = view_of(body, head.id_length);
-    record->parent = view_of(body + head.id_length, head.parent_length);
-    record->expires_ms = head.expires_ms;
-    record->text.kind = (turn_text_kind_t)head.kind;
-    record->text.length = head.length;
-    record->text.input_length = head.input_length;
-    if (held) {
-        record->text.at.held = (uint8_t *)(uintptr_t)(body + head.id_length + head.parent_length);
+    memcpy(&record->tenant, data.data + sizeof(header), tenant_length);
+    record->id = view_of(body, header.id_length);
+    record->parent = view_of(body + header.id_length, header.parent_length);
+    record->expires_ms = header.expires_ms;
+    record->text.kind = (turn_text_kind_t)header.kind;
+    record->text.length = header.length;
+    record->text.input_length = header.input_length;
+    if (in_memory) {
+        record->text.at.bytes = (uint8_t *)(uintptr_t)(body + header.id_length + header.parent_length);
     } else {
-        struct history_ref stored = {.offset = head.offset, .segment = head.segment, .length = head.length};
-        record->text.at.stored = stored;
+        struct history_ref ref = {.offset = header.offset, .segment = header.segment, .length = header.length};
+        record->text.at.ref = ref;
     }
     return true;
 }
@@ -80,8 +80,8 @@
 bool turn_text_read(const struct history_io *history, const turn_text_t *text, struct buffer *out)
 {
     switch (text->kind) {
-    case TURN_TEXT_HELD: buffer_append(out, text->at.held, text->length); return true;
-    case TURN_TEXT_STORED: return history->read(history->context, &text->at.stored, out);
+    case TURN_TEXT_IN_MEMORY: buffer_append(out, text->at.bytes, text->length); return true;
+    case TURN_TEXT_IN_HISTORY: return history->read(history->context, &text->at.ref, out);
     }
     return false;
 }
@@ -130,12 +130,12 @@
         .text.input_length = (uint32_t)wire.input.length,
     };
     if (history->append != NULL) {
-        record.text.kind = TURN_TEXT_STORED;
-        history->append(history->context, buffer_view(&text), &record.text.at.stored);
-        history->drop(history->context, &record.text.at.stored);
+        record.text.kind = TURN_TEXT_IN_HISTORY;
+        history->append(history->context, buffer_view(&text), &record.text.at.ref);
+        history->release(history->context, &record.text.at.ref);
     } else {
-        record.text.kind = TURN_TEXT_HELD;
-        record.text.at.held = text.data;
+        record.text.kind = TURN_TEXT_IN_MEMORY;
+        record.text.at.bytes = text.data;
     }
     turn_record_encode(&record, out);
     buffer_close(&text);
--- a/src/core/turn_record.h
+++ b/src/core/turn_record.h
@@ -1,38 +1,44 @@
 /**
  * @file turn_record.h
- * A turn in a snapshot. On the machine that wrote it: a fixed head in host
- * order and the two ids, since a replica writes tens of thousands of them
- * each few seconds; the text is named by its place in the history store. A
- * turn without a tenant is written as versions without tenants wrote it.
- * Between machines: a TurnRecord that holds the text.
+ * Encodings of a turn in a snapshot. The local form, only for the machine that
+ * wrote it, is a fixed header in host byte order, cheap to write, with the
+ * location of the text in the history store. A turn without a tenant has the same
+ * encoding as in versions that had no tenants. The wire form, for other machines,
+ * is a TurnRecord message with the text.
  */
 #ifndef BANKBANK_CORE_TURN_RECORD_H
 #define BANKBANK_CORE_TURN_RECORD_H
 
 #include "core/turn_store.h"
 
-/** A decoded record; its views borrow from the encoded one. */
+/** A record in local form. If decoded, views and in-memory text point into the encoded record. */
 typedef struct turn_record_t {
-    struct view id;      /**< Unique id. */
-    struct view parent;  /**< Id of the turn before it; empty: none. */
-    uint64_t expires_ms; /**< See struct turn. */
-    uint64_t tenant;     /**< See struct turn. */
-    turn_text_t text;    /**< A held text lies in the record. */
+    struct view id;
+    struct view parent;  /**< Empty: none. */
+    uint64_t expires_ms; /**< As in struct turn. */
+    uint64_t tenant;     /**< As in struct turn. */
+    turn_text_t text;
 } turn_record_t;
 
-/** Appends a record. */
+/** Appends a record in local form to `out`. */
 void turn_record_encode(const turn_record_t *record, struct buffer *out);
 
-/** Reads a record; false: it is damaged. */
+/** Returns false if the record is malformed. */
 bool turn_record_decode(struct view data, turn_record_t *record);
 
-/** Appends the text of a record, read from `history` where it is stored; false: it cannot be read. */
+/** Appends a text to `out`. Returns false if it cannot be read from `history`. */
 bool turn_text_read(const struct history_io *history, const turn_text_t *text, struct buffer *out);
 
-/** From the form on this machine to the form between machines, appended to `out`. */
+/**
+ * Converts a record from local to wire form and appends it to `out`. Returns false if the record is malformed or its
+ * text cannot be read.
+ */
 bool turn_record_to_wire(const struct history_io *history, struct view data, struct buffer *out);
 
-/** The other way: the text goes into `history`, and is not counted as in use there. */
+/**
+ * Converts a record from wire to local form and appends it to `out`. Adds the text to `history`, if that has an append
+ * operation, but leaves it unused until turn_store_import() marks it as used. Returns false if the record is malformed.
+ */
 bool turn_record_from_wire(const struct history_io *history, struct view data, struct buffer *out);
 
 #endif
--- a/src/core/turn_store.c
+++ b/src/core/turn_store.c
@@ -6,7 +6,7 @@
 #include "base/message.h"
 #include "core/turn_record.h"
 
-static void turn_unlink(struct turn_store *store, struct turn *turn)
+static void turn_lru_unlink(struct turn_store *store, struct turn *turn)
 {
     if (turn->earlier != NULL) {
         turn->earlier->later = turn->later;
@@ -22,7 +22,7 @@
     turn->later = NULL;
 }
 
-static void turn_link_last(struct turn_store *store, struct turn *turn)
+static void turn_lru_append(struct turn_store *store, struct turn *turn)
 {
     turn->earlier = store->latest;
     if (store->latest != NULL) {
@@ -33,23 +33,22 @@
     store->latest = turn;
 }
 
-/* Memory of a turn beside its text. */
 static size_t turn_index_bytes(size_t id_length)
 {
-    return sizeof(struct turn) + id_length + 1 + TURN_HELD_BYTES;
+    return sizeof(struct turn) + id_length + 1 + TURN_OVERHEAD_BYTES;
 }
 
 static void turn_text_free(struct turn_store *store, turn_text_t *text)
 {
     switch (text->kind) {
-    case TURN_TEXT_HELD: free(text->at.held); break;
-    case TURN_TEXT_STORED: store->history.drop(store->history.context, &text->at.stored); break;
+    case TURN_TEXT_IN_MEMORY: free(text->at.bytes); break;
+    case TURN_TEXT_IN_HISTORY: store->history.release(store->history.context, &text->at.ref); break;
     }
 }
 
 static void turn_free(struct turn_store *store, struct turn *turn)
 {
-    turn_unlink(store, turn);
+    turn_lru_unlink(store, turn);
     HASH_DEL(store->turns, turn);
     store->bytes -= turn->text.length;
     store->index_bytes -= turn_index_bytes(strlen(turn->id));
@@ -77,25 +76,25 @@
     return turn;
 }
 
-bool turn_is_of(const struct turn *turn, uint64_t tenant)
+bool turn_is_visible_to(const struct turn *turn, uint64_t tenant)
 {
     return turn->tenant == 0 || turn->tenant == tenant;
 }
 
-/* The whole chain stays as long as its last turn. */
+/* Extends the expiry of a turn and its ancestors, and marks them as most recently used. */
 static void turn_touch_chain(struct turn_store *store, struct turn *turn, uint64_t expires_ms)
 {
     for (; turn != NULL; turn = turn->parent) {
         if (turn->expires_ms < expires_ms) {
             turn->expires_ms = expires_ms;
         }
-        turn_unlink(store, turn);
-        turn_link_last(store, turn);
+        turn_lru_unlink(store, turn);
+        turn_lru_append(store, turn);
     }
 }
 
-/* Puts input and output, one behind the other, where this store keeps texts. */
-static void turn_text_keep(struct turn_store *store, struct view input, struct view output, turn_text_t *text)
+/* Stores the concatenated text in the history store, if there is one, else in memory. */
+static void turn_text_store(struct turn_store *store, struct view input, struct view output, turn_text_t *text)
 {
     struct buffer both = {0};
     buffer_append(&both, input.data, input.length);
@@ -103,17 +102,17 @@
     text->input_length = (uint32_t)input.length;
     text->length = (uint32_t)both.length;
     if (store->history.append != NULL) {
-        text->kind = TURN_TEXT_STORED;
-        store->history.append(store->history.context, buffer_view(&both), &text->at.stored);
+        text->kind = TURN_TEXT_IN_HISTORY;
+        store->history.append(store->history.context, buffer_view(&both), &text->at.ref);
         buffer_close(&both);
     } else {
-        text->kind = TURN_TEXT_HELD;
-        text->at.held = (uint8_t *)memory_copy(both.data, both.length);
+        text->kind = TURN_TEXT_IN_MEMORY;
+        text->at.bytes = (uint8_t *)memory_copy(both.data, both.length);
         buffer_close(&both);
     }
 }
 
-/* Adds a turn that is not there yet; NULL: its parent is not there. */
+/* Requires that the turn is not stored yet. Returns NULL if its parent is not stored. */
 static struct turn *turn_add(struct turn_store *store, struct view id, struct view parent_id)
 {
     struct turn *parent = NULL;
@@ -127,7 +126,7 @@
     memcpy(turn->id, id.data, id.length);
     turn->parent = parent;
     HASH_ADD_KEYPTR(hh, store->turns, turn->id, id.length, turn);
-    turn_link_last(store, turn);
+    turn_lru_append(store, turn);
     store->index_bytes += turn_index_bytes(id.length);
     if (parent != NULL) {
         parent->children++;
@@ -146,7 +145,7 @@
         return false;
     }
     turn->tenant = content->tenant;
-    turn_text_keep(store, content->input, content->output, &turn->text);
+    turn_text_store(store, content->input, content->output, &turn->text);
     store->bytes += turn->text.length;
     turn_touch_chain(store, turn, now_ms + content->retention_ms);
     return true;
@@ -160,7 +159,7 @@
         if (turn->children == 0) {
             struct turn *parent = turn->parent;
             turn_free(store, turn);
-            /* A parent passed over before, because of this child, goes now. */
+            /* the parent was skipped because of this child */
             next = parent != NULL && parent->children == 0 ? parent : next;
         }
         turn = next;
@@ -189,7 +188,7 @@
     return depth;
 }
 
-/* The turns of a chain, oldest first, in an array that the caller frees. */
+/* Returns the turn and its ancestors, oldest first. The caller frees the array. */
 static const struct turn **turn_chain(const struct turn *turn, size_t depth)
 {
     const struct turn **chain = memory_new((depth + 1) * sizeof(struct turn *)); // NOLINT(bugprone-sizeof-expression)
@@ -268,8 +267,10 @@
     turn->tenant = record.tenant;
     store->bytes += record.text.length;
     switch (record.text.kind) {
-    case TURN_TEXT_HELD: turn->text.at.held = (uint8_t *)memory_copy(record.text.at.held, record.text.length); break;
-    case TURN_TEXT_STORED: store->history.keep(store->history.context, &record.text.at.stored); break;
+    case TURN_TEXT_IN_MEMORY:
+        turn->text.at.bytes = (uint8_t *)memory_copy(record.text.at.bytes, record.text.length);
+        break;
+    case TURN_TEXT_IN_HISTORY: store->history.mark_used(store->history.context, &record.text.at.ref); break;
     }
     return true;
 }
@@ -281,8 +282,9 @@
     return left->expires_ms < right->expires_ms ? -1 : left->expires_ms > right->expires_ms ? 1 : 0;
 }
 
-/* Records come in the order in which turns were stored, since a turn follows its parent. */
-void turn_store_order(struct turn_store *store)
+/* Snapshot records come in the order in which turns were stored, so that parents precede children; turn_store_expire()
+ * needs them by expiry. */
+void turn_store_sort_by_expiry(struct turn_store *store)
 {
     size_t count = HASH_COUNT(store->turns);
     struct turn **turns = memory_new((count + 1) * sizeof(*turns)); // NOLINT(bugprone-sizeof-expression)
@@ -294,7 +296,7 @@
     store->earliest = NULL;
     store->latest = NULL;
     for (i = 0; i < count; i++) {
-        turn_link_last(store, turns[i]);
+        turn_lru_append(store, turns[i]);
         turns[i]->later = NULL;
     }
     free(turns);
--- a/src/core/turn_store.h
+++ b/src/core/turn_store.h
@@ -1,18 +1,16 @@
 /**
  * @file turn_store.h
- * Turns of conversations as a tree: each turn names the turn that it goes on
- * from, and several may name the same one. Input and output are opaque bytes.
- * State replicas replicate one; gateways use another as a cache.
+ * Conversations as trees of immutable turns: a turn is a request (input) with its
+ * response (output) and continues its parent, if any. State replicas replicate one
+ * store, with the texts in the host's history store (history.h); gateways use
+ * another as a cache, with the texts in memory.
  *
- * A replica's store holds an index: the texts lie in the host's history store
- * (on disk) and are read when they are asked for. A cache holds the texts.
+ * A turn is visible only to the tenant that stored it. A turn without a tenant,
+ * stored by a caller without an API key or by a version that had no tenants, is
+ * visible to every caller that knows its id.
  *
- * A turn belongs to the tenant that brought it, and is not found for another
- * one. One stored without a tenant, by a caller without a key or before there
- * were keys, is found by whoever names it, as it was then.
- *
- * A turn never changes once stored. It stays, with all turns before it, until
- * the retention of the last turn that goes on from it has passed.
+ * A turn is kept, with all its ancestors, until the retention of its last
+ * descendant has passed.
  */
 #ifndef BANKBANK_CORE_TURN_STORE_H
 #define BANKBANK_CORE_TURN_STORE_H
@@ -27,93 +25,90 @@
 #include "core/history.h"
 
 enum {
-    TURN_HELD_BYTES = 32 /**< What the allocator and the hash add to a turn, about. */
+    TURN_OVERHEAD_BYTES = 32 /**< Estimated allocator and hash table overhead per turn. */
 };
 
-/** Where a turn's text is. */
-typedef enum turn_text_kind_t {
-    TURN_TEXT_HELD,  /**< In memory. */
-    TURN_TEXT_STORED /**< In the history store. */
-} turn_text_kind_t;
+typedef enum turn_text_kind_t { TURN_TEXT_IN_MEMORY, TURN_TEXT_IN_HISTORY } turn_text_kind_t;
 
-/** A turn's text: its input, and behind it its output. */
+/** Input of a turn followed by its output; opaque bytes. */
 typedef struct turn_text_t {
-    turn_text_kind_t kind; /**< Which of the union. */
-    uint32_t input_length; /**< Bytes of the input. */
-    uint32_t length;       /**< Bytes of both. */
+    turn_text_kind_t kind;
+    uint32_t input_length; /**< In bytes. */
+    uint32_t length;       /**< Input and output, in bytes. */
     union {
-        uint8_t *held;             /**< Owned bytes. */
-        struct history_ref stored; /**< Place in the history store. */
+        uint8_t *bytes;         /**< TURN_TEXT_IN_MEMORY: owned. */
+        struct history_ref ref; /**< TURN_TEXT_IN_HISTORY. */
     } at;
 } turn_text_t;
 
-/** One stored turn. */
 struct turn {
-    struct turn *parent;  /**< Turn before it, or NULL. */
-    uint32_t children;    /**< Stored turns that go on from it. */
-    uint64_t expires_ms;  /**< Time after which it may be dropped. */
-    uint64_t tenant;      /**< Hash of the tenant's name, 0: none. */
-    turn_text_t text;     /**< What the caller brought and what was made. */
-    struct turn *earlier; /**< Order of last use. */
-    struct turn *later;   /**< Order of last use. */
-    UT_hash_handle hh;    /**< By id. */
-    char id[];            /**< Unique id. */
+    struct turn *parent; /**< NULL: root. */
+    uint32_t children;
+    uint64_t expires_ms; /**< Time at which it may be dropped, once it has no children. */
+    uint64_t tenant;     /**< Hash of the tenant's name, 0: none. */
+    turn_text_t text;
+    struct turn *earlier; /**< Neighbors in the LRU list. */
+    struct turn *later;
+    UT_hash_handle hh;
+    char id[];
 };
 
-/** All turns. */
 struct turn_store {
-    struct history_io history; /**< Where texts go; all zero: they are held in memory. */
-    struct turn *turns;        /**< By id. */
-    struct turn *earliest;     /**< Head of the order of use. */
-    struct turn *latest;       /**< Tail of it. */
-    size_t bytes;              /**< Input and output bytes stored. */
-    size_t index_bytes;        /**< Memory that the turns take, texts left out. */
+    struct history_io history; /**< All zero: texts are kept in memory. */
+    struct turn *turns;
+    struct turn *earliest; /**< Least recently used turn. */
+    struct turn *latest;
+    size_t bytes;       /**< Total length of the texts. */
+    size_t index_bytes; /**< Estimated memory of the turns without texts. */
 };
 
-/** Content of a turn to store; all is copied. */
+/** A turn to store. Everything is copied. */
 struct turn_content {
-    const char *id;        /**< Unique id. */
-    const char *parent;    /**< Id of the turn before it, or "". */
-    struct view input;     /**< What the caller brought. */
-    struct view output;    /**< What was made. */
-    uint64_t retention_ms; /**< Least time it stays. */
+    const char *id;
+    const char *parent; /**< Id, or "" if none. */
+    struct view input;
+    struct view output;
+    uint64_t retention_ms; /**< The turn is kept for at least this long. */
     uint64_t tenant;       /**< Hash of the tenant's name, 0: none. */
 };
 
-/** Frees everything; texts in the history store are no longer needed. */
+/** Releases the texts in the history store, too. */
 void turn_store_close(struct turn_store *store);
 
-/** Finds a turn, or NULL. */
+/** Returns NULL if there is none. */
 struct turn *turn_store_find(const struct turn_store *store, const char *id);
 
-/** Whether a tenant may go on from a turn. */
-bool turn_is_of(const struct turn *turn, uint64_t tenant);
+/** Whether a tenant may use and continue a turn. */
+bool turn_is_visible_to(const struct turn *turn, uint64_t tenant);
 
-/** Stores a turn; true also if it is stored already, false if its parent is not. */
+/** Returns false if the parent is not stored; true without effect if the turn is stored already. */
 bool turn_store_add(struct turn_store *store, uint64_t now_ms, const struct turn_content *content);
 
-/** Drops what has expired by `now_ms`. */
+/** Drops expired turns that have no unexpired descendants. */
 void turn_store_expire(struct turn_store *store, uint64_t now_ms);
 
-/** Drops the least recently used turns until texts and index take at most `bytes`. */
+/** Drops least recently used turns, children before parents, until texts and index take at most `bytes`. */
 void turn_store_shrink(struct turn_store *store, size_t bytes);
 
-/** Appends input and output of the whole chain up to `turn`, oldest first; false: a text cannot be read. */
+/** Appends the texts of `turn` and its ancestors, oldest first. Returns false if a text cannot be read. */
 bool turn_chain_text(const struct turn_store *store, const struct turn *turn, struct buffer *out);
 
-/** Appends an encoded TurnChain, oldest first; false: a text cannot be read. */
+/**
+ * Appends `turn` and its ancestors, oldest first, as an encoded TurnChain. Returns false if a text cannot be read or
+ * the chain is too long for the message.
+ */
 bool turn_chain_encode(const struct turn_store *store, const struct turn *turn, struct buffer *out);
 
-/** Appends a turn's record for a snapshot on this machine (turn_record.h). */
+/** Appends a record in local form (turn_record.h). */
 void turn_export(const struct turn *turn, struct buffer *out);
 
-/** Adds the turn of such a record; false: it does not decode, or its parent is not there. */
+/** Adds a turn from a record in local form. Returns false if it is malformed or its parent is not stored. */
 bool turn_store_import(struct turn_store *store, struct view record);
 
-/** After the last import: puts the turns into the order in which they expire. */
-void turn_store_order(struct turn_store *store);
+/** Sorts the LRU list by expiry. Call it after the last turn_store_import(). */
+void turn_store_sort_by_expiry(struct turn_store *store);
 
-/** Adds a turn with its text, as it comes from another machine or an older snapshot. */
+/** Adds a turn from another machine or an older snapshot. Returns false if its parent is not stored. */
 bool turn_store_import_wire(struct turn_store *store, const TurnRecord *record);
 
 #endif
--- a/src/core/zone_set.c
+++ b/src/core/zone_set.c
@@ -5,11 +5,11 @@
 
 #include "base/buffer.h"
 
-const char *zone_region(const zone_place_t *places, size_t count, const char *zone)
+const char *zone_region(const zone_info_t *zones, size_t count, const char *zone)
 {
     for (size_t i = 0; i < count; i++) {
-        if (text_equal(places[i].name, zone) && text_or_empty(places[i].region)[0] != '\0') {
-            return places[i].region;
+        if (text_equal(zones[i].name, zone) && text_or_empty(zones[i].region)[0] != '\0') {
+            return zones[i].region;
         }
     }
     return NULL;
@@ -51,47 +51,47 @@
     set->names[set->count++] = text_copy(zone);
 }
 
-static void zone_set_remove(zone_set_t *set, uint32_t at)
+static void zone_set_remove(zone_set_t *set, uint32_t index)
 {
-    free(set->names[at]);
-    memmove(&set->names[at], &set->names[at + 1], (set->count - at - 1) * sizeof(*set->names));
+    free(set->names[index]);
+    memmove(&set->names[index], &set->names[index + 1], (set->count - index - 1) * sizeof(*set->names));
     set->count--;
 }
 
 zone_set_change_t zone_set_put(zone_set_t *set, const char *zone, bool drained)
 {
-    uint32_t at = zone_set_find(set, zone);
-    if ((at < set->count) == drained) {
-        return ZONE_SET_SAME;
+    uint32_t index = zone_set_find(set, zone);
+    if ((index < set->count) == drained) {
+        return ZONE_SET_UNCHANGED;
     }
-    if (drained && set->count == ZONE_SET_MOST) {
+    if (drained && set->count == ZONE_SET_MAX) {
         return ZONE_SET_FULL;
     }
     if (drained) {
         zone_set_add(set, zone);
     } else {
-        zone_set_remove(set, at);
+        zone_set_remove(set, index);
     }
     set->revision++;
     return ZONE_SET_CHANGED;
 }
 
-bool zone_set_take(zone_set_t *set, const DrainedZones *told)
+bool zone_set_update(zone_set_t *set, const DrainedZones *update)
 {
-    if (told->revision <= set->revision) {
+    if (update->revision <= set->revision) {
         return false;
     }
     zone_set_clear(set);
-    for (pb_size_t i = 0; i < told->zones_count; i++) {
-        zone_set_add(set, told->zones[i]);
+    for (pb_size_t i = 0; i < update->zones_count; i++) {
+        zone_set_add(set, update->zones[i]);
     }
-    set->revision = told->revision;
+    set->revision = update->revision;
     return true;
 }
 
-void zone_set_tell(const zone_set_t *set, DrainedZones *told)
+void zone_set_export(const zone_set_t *set, DrainedZones *message)
 {
-    *told = (DrainedZones){
+    *message = (DrainedZones){
         .revision = set->revision,
         .zones = set->names,
         .zones_count = (pb_size_t)set->count,
--- a/src/ctl/client.c
+++ b/src/ctl/client.c
@@ -1,4 +1,4 @@
-/* Calls to daemons and to the old site. */
+/* HTTP requests to daemons and to the old site. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -17,7 +17,7 @@
     return true;
 }
 
-/* Sends a POST; returns the status, or 0 if no answer came. */
+/* Sends a POST; returns the HTTP status, or 0 without a complete response. */
 static int ctl_post(const char *url, const char *content_type, struct view body, struct buffer *reply)
 {
     struct http_request request = {
@@ -30,8 +30,8 @@
         .on_data = ctl_on_data,
     };
     int status = 0;
-    http_request_header(&request, "Content-Type: %s", content_type);
-    http_request_header(&request, "Connect-Protocol-Version: 1");
+    http_request_add_header(&request, "Content-Type: %s", content_type);
+    http_request_add_header(&request, "Connect-Protocol-Version: 1");
     enum http_transfer_result result = http_client_run(&request, &status);
     http_request_close(&request);
     return result == HTTP_TRANSFER_DONE ? status : 0;
@@ -40,7 +40,7 @@
 static void ctl_report_error(struct buffer *reply, int status)
 {
     if (status == 0) {
-        fprintf(stderr, "bankbankctl: unavailable: no answer from the daemon\n");
+        fprintf(stderr, "bankbankctl: unavailable: no complete response from the daemon\n");
         return;
     }
     json_t *error = json_input_parse(buffer_view(reply), NULL);
@@ -49,7 +49,7 @@
     if (code != NULL) {
         fprintf(stderr, "bankbankctl: %s: %s\n", code, text_or_empty(message));
     } else {
-        fprintf(stderr, "bankbankctl: error: HTTP status %d, and no error in the answer\n", status);
+        fprintf(stderr, "bankbankctl: error: HTTP status %d without an error message\n", status);
     }
     json_decref(error);
 }
@@ -75,13 +75,14 @@
     struct buffer reply = {0};
     char *text = json_dumps(body, JSON_COMPACT);
     int status = ctl_post(url, "application/json", view_of_string(text), &reply);
-    json_t *answer = json_input_parse(buffer_view(&reply), NULL);
+    json_t *response = json_input_parse(buffer_view(&reply), NULL);
     if (status != CTL_STATUS_OK) {
-        fprintf(stderr, "bankbankctl: %s answered %d: %s\n", url, status, buffer_text(&reply));
-        json_decref(answer);
-        answer = NULL;
+        fprintf(stderr, "bankbankctl: POST %s failed: HTTP status %d (0: no complete response): %s\n", url, status,
+                buffer_text(&reply));
+        json_decref(response);
+        response = NULL;
     }
     free(text);
     buffer_close(&reply);
-    return answer;
+    return response;
 }
--- a/src/ctl/explain.c
+++ b/src/ctl/explain.c
@@ -1,8 +1,8 @@
 /*
- * bankbankctl explain: from a request's id to what became of it. Reads the
- * structured logs of daemons (JSON lines), puts the lines that name the id in
- * order of time, adds what the same daemons lost or regained shortly before,
- * and names the first line that decided the request's fate.
+ * bankbankctl explain: prints, in order of time, the lines of daemons' structured
+ * logs (JSON lines) that have a request's id, and the context events around them:
+ * those that affect all requests of the daemon that logged the id first. It marks
+ * the first line that explains a failure.
  */
 #include <errno.h>
 #include <stdio.h>
@@ -12,28 +12,26 @@
 #include "ctl/ctl.h"
 #include "net/json_input.h"
 
-enum { EXPLAIN_BEFORE_MS = 3000 /* how long before the request a lost dependency may matter */ };
+enum { EXPLAIN_LOOKBACK_MS = 3000 /* context events are shown from this long before the request */ };
 
-/* One line of a log. */
 struct explain_line {
     json_int_t ms;
-    size_t order; /* position in the input, for lines of one millisecond */
+    size_t order; /* position in the input; orders lines of the same millisecond */
     json_t *object;
 };
 
-/* Lines of all logs. */
 struct explain_log {
     struct explain_line *lines;
     size_t count;
     size_t capacity;
 };
 
-/* Events that change what a daemon can do for any request. */
-static const char *const explain_context[] = {"stalled",     "state_lost",   "state_regained", "leader_changed",
-                                              "peer_lost",   "disk_blocked", "disk_slow",      "disk_failed",
-                                              "stop_begins", "start",        "lines_left_out"};
+/* Events that affect all requests of a daemon. */
+static const char *const explain_context_events[] = {"stalled",     "state_lost",   "state_regained", "leader_changed",
+                                                     "peer_lost",   "disk_blocked", "disk_slow",      "disk_failed",
+                                                     "stop_begins", "start",        "lines_left_out"};
 
-static const char *explain_text(const json_t *object, const char *key)
+static const char *explain_field(const json_t *object, const char *key)
 {
     return text_or_empty(json_string_value(json_object_get(object, key)));
 }
@@ -50,7 +48,7 @@
     line->object = object;
 }
 
-/* Lines that are no JSON objects, such as those of other programs, are passed over. */
+/* Adds the log lines of a file; skips other output, which has no JSON object with an "event". */
 static bool explain_read(struct explain_log *log, const char *path)
 {
     FILE *file = fopen(path, "r");
@@ -86,11 +84,11 @@
 
 static bool explain_is_context(const struct explain_line *line, const char *node, json_int_t from_ms, json_int_t to_ms)
 {
-    if (line->ms < from_ms || line->ms > to_ms || strcmp(explain_text(line->object, "node"), node) != 0) {
+    if (line->ms < from_ms || line->ms > to_ms || strcmp(explain_field(line->object, "node"), node) != 0) {
         return false;
     }
-    for (size_t i = 0; i < sizeof(explain_context) / sizeof(explain_context[0]); i++) {
-        if (strcmp(explain_text(line->object, "event"), explain_context[i]) == 0) {
+    for (size_t i = 0; i < sizeof(explain_context_events) / sizeof(explain_context_events[0]); i++) {
+        if (strcmp(explain_field(line->object, "event"), explain_context_events[i]) == 0) {
             return true;
         }
     }
@@ -104,23 +102,23 @@
     json_object_del(rest, "node");
     json_object_del(rest, "event");
     char *text = json_dumps(rest, JSON_COMPACT);
-    printf("%s %+8lld ms  %-24s %-20s %s\n", mark, (long long)(line->ms - base_ms), explain_text(line->object, "node"),
-           explain_text(line->object, "event"), text);
+    printf("%s %+8lld ms  %-24s %-20s %s\n", mark, (long long)(line->ms - base_ms), explain_field(line->object, "node"),
+           explain_field(line->object, "event"), text);
     free(text);
     json_decref(rest);
 }
 
-/* The first line whose event is not a plain success decided the request. */
-static bool explain_decides(const struct explain_line *line)
+/* Returns false only for the line that reports a completed request. */
+static bool explain_is_deciding(const struct explain_line *line)
 {
-    bool ended = strcmp(explain_text(line->object, "event"), "request") == 0;
-    return !ended || strcmp(explain_text(line->object, "outcome"), "completed") != 0;
+    bool is_request_event = strcmp(explain_field(line->object, "event"), "request") == 0;
+    return !is_request_event || strcmp(explain_field(line->object, "outcome"), "completed") != 0;
 }
 
 static const struct explain_line *explain_first(const struct explain_log *log, const char *id)
 {
     for (size_t i = 0; i < log->count; i++) {
-        if (strcmp(explain_text(log->lines[i].object, "id"), id) == 0) {
+        if (strcmp(explain_field(log->lines[i].object, "id"), id) == 0) {
             return &log->lines[i];
         }
     }
@@ -130,32 +128,34 @@
 static int explain_show(const struct explain_log *log, const char *id)
 {
     const struct explain_line *first = explain_first(log, id);
-    const struct explain_line *decided = NULL;
+    const struct explain_line *deciding = NULL;
     if (first == NULL) {
-        printf("no line names %s: its daemon's log is missing, or lines were left out (see lines_left_out)\n", id);
+        printf(
+            "no log line has the id %s: its daemon's log is missing, or lines were suppressed (see lines_left_out)\n",
+            id);
         return CTL_EXIT_FAILURE;
     }
-    const char *node = explain_text(first->object, "node");
+    const char *node = explain_field(first->object, "node");
     json_int_t total_ms = json_integer_value(json_object_get(first->object, "total_ms"));
-    json_int_t from_ms = first->ms - total_ms - EXPLAIN_BEFORE_MS;
+    json_int_t from_ms = first->ms - total_ms - EXPLAIN_LOOKBACK_MS;
     for (size_t i = 0; i < log->count; i++) {
         const struct explain_line *line = &log->lines[i];
-        bool own = strcmp(explain_text(line->object, "id"), id) == 0;
-        if (own) {
-            bool first_decision = decided == NULL && explain_decides(line);
-            decided = first_decision ? line : decided;
-            explain_print(line, first->ms, first_decision ? "=>" : "  ");
+        bool has_id = strcmp(explain_field(line->object, "id"), id) == 0;
+        if (has_id) {
+            bool is_first_deciding = deciding == NULL && explain_is_deciding(line);
+            deciding = is_first_deciding ? line : deciding;
+            explain_print(line, first->ms, is_first_deciding ? "=>" : "  ");
         } else if (explain_is_context(line, node, from_ms, first->ms + total_ms)) {
             explain_print(line, first->ms, "  ");
         }
     }
-    if (decided == NULL) {
-        printf("the request was answered whole\n");
+    if (deciding == NULL) {
+        printf("the request completed\n");
     } else {
-        const char *reason = explain_text(decided->object, "reason");
-        printf("decided by %s at %s: %s\n", explain_text(decided->object, "event"),
-               explain_text(decided->object, "node"),
-               reason[0] != '\0' ? reason : explain_text(decided->object, "outcome"));
+        const char *reason = explain_field(deciding->object, "reason");
+        printf("decided by %s at %s: %s\n", explain_field(deciding->object, "event"),
+               explain_field(deciding->object, "node"),
+               reason[0] != '\0' ? reason : explain_field(deciding->object, "outcome"));
     }
     return 0;
 }
@@ -165,7 +165,7 @@
     struct explain_log log = {0};
     int status = CTL_EXIT_USAGE;
     if (count < 2) {
-        fprintf(stderr, "bankbankctl: explain takes an id and at least one log file\n");
+        fprintf(stderr, "bankbankctl: explain requires a request id and at least one log file\n");
         return status;
     }
     status = CTL_EXIT_FAILURE;
--- a/src/ctl/handover.c
+++ b/src/ctl/handover.c
@@ -1,6 +1,7 @@
 /*
- * Hand-over of programs from an old site: "handover run PROGRAM..." does all
- * steps, and may be repeated after any failure; the steps can be run one by one.
+ * Hand-over of programs from an old site to the new site, that of --server. "handover
+ * run" runs all steps and can be repeated after any failure; prepare, commit and abort
+ * run one step.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -20,10 +21,10 @@
     struct buffer url = {0};
     buffer_printf(&url, "%s/programs/%s/%s", options->old_site, program, step);
     json_t *body = json_pack("{s:I}", "epoch", (json_int_t)options->epoch);
-    json_t *answer = ctl_post_json(buffer_text(&url), body);
+    json_t *response = ctl_post_json(buffer_text(&url), body);
     json_decref(body);
     buffer_close(&url);
-    return answer;
+    return response;
 }
 
 static bool ctl_new_site_step(const struct ctl_options *options, const char *method, const Handover *handover)
@@ -45,7 +46,8 @@
     return done;
 }
 
-/* Fills a hand-over from the old site's export; texts are borrowed from it. */
+/* Fills a hand-over from the old site's export, which may be NULL and keeps ownership of the strings.
+ * Returns history_json, or NULL; the caller frees it. */
 static char *ctl_fill_handover(const struct ctl_options *options, const char *program, const json_t *export,
                                Handover *handover)
 {
@@ -64,8 +66,8 @@
     return handover->history_json;
 }
 
-/* prepare here -> prepare there -> import -> commit here -> commit there. The
- * commit here decides: a call may run here from then on and there no more. */
+/* Prepares at the new site and at the old site, imports, then commits in the same order.
+ * The commit at the new site transfers ownership: from then on calls may run only there. */
 static bool ctl_handover_run(const struct ctl_options *options, const char *program)
 {
     Handover handover;
@@ -101,8 +103,8 @@
         return ctl_new_site_step(options, "CommitHandover", &handover);
     }
     bool aborted = ctl_new_site_step(options, "AbortHandover", &handover);
-    json_t *answer = aborted && options->old_site != NULL ? ctl_old_site_step(options, program, "abort") : NULL;
-    json_decref(answer);
+    json_t *response = aborted && options->old_site != NULL ? ctl_old_site_step(options, program, "abort") : NULL;
+    json_decref(response);
     return aborted;
 }
 
@@ -114,12 +116,12 @@
         known = known || strcmp(arguments[0], steps[i]) == 0;
     }
     if (!known) {
-        fprintf(stderr, "bankbankctl: use handover run|prepare|commit|abort PROGRAM...\n");
+        fprintf(stderr, "bankbankctl: usage: handover run|prepare|commit|abort PROGRAM...\n");
         return CTL_EXIT_USAGE;
     }
     bool run = strcmp(arguments[0], "run") == 0;
     if (run && options->old_site == NULL) {
-        fprintf(stderr, "bankbankctl: handover run needs --old-site URL\n");
+        fprintf(stderr, "bankbankctl: handover run requires --old-site URL\n");
         return CTL_EXIT_USAGE;
     }
     int failed = 0;
--- a/src/ctl/main.c
+++ b/src/ctl/main.c
@@ -1,4 +1,4 @@
-/* bankbankctl: the operators' command line over the RPC of any daemon. */
+/* bankbankctl: command-line client of the daemons' operator RPC. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -10,7 +10,7 @@
 #include "ctl/ctl.h"
 #include "net/http_client.h"
 
-enum { CTL_MAX_WORDS = 1024, CTL_METHOD_MAX = 64, CTL_ID_BYTES = 16 };
+enum { CTL_MAX_ARGUMENTS = 1024, CTL_METHOD_SIZE = 64, CTL_ID_BYTES = 16 };
 
 static const char CTL_COMMANDS[] = "Commands:\n"
                                    "  status\n"
@@ -23,7 +23,7 @@
                                    "  replica add|remove NODE\n"
                                    "  explain ID LOGFILE...\n"
                                    "  handover run|prepare|commit|abort PROGRAM...\n"
-                                   "KIND is service, pool, policy or tenant. Lists repeat their field:\n"
+                                   "KIND is service, pool, policy or tenant. Repeat list fields, once per element:\n"
                                    "  engine=NAME,URL[,ZONE[,WEIGHT[,draining]]]\n"
                                    "  backend=NAME,URL[,ZONE[,draining]]\n";
 
@@ -45,9 +45,9 @@
     json_decref(value);
 }
 
-static void ctl_method(char *out, const char *verb, const char *noun)
+static void ctl_method_name(char *out, const char *verb, const char *noun)
 {
-    snprintf(out, CTL_METHOD_MAX, "%s%s", verb, noun);
+    snprintf(out, CTL_METHOD_SIZE, "%s%s", verb, noun);
 }
 
 static int ctl_print_change(const struct ctl_options *options, const struct buffer *reply)
@@ -68,9 +68,9 @@
                       struct view resource)
 {
     char id[2 * CTL_ID_BYTES + 1];
-    char method[CTL_METHOD_MAX];
+    char method[CTL_METHOD_SIZE];
     ctl_random_id(id);
-    ctl_method(method, verb, kind->singular);
+    ctl_method_name(method, verb, kind->singular);
     ResourceChange change = {0};
     change.request_id = options->request_id != NULL ? (char *)(uintptr_t)options->request_id : id;
     change.expected_revision = options->expected_revision;
@@ -82,32 +82,32 @@
     return status;
 }
 
-static int ctl_put(const struct ctl_options *options, const char *verb, const struct ctl_kind *kind, int count,
-                   char **words)
+static int ctl_create_or_update(const struct ctl_options *options, const char *verb, const struct ctl_kind *kind,
+                                int count, char **arguments)
 {
     struct buffer name = {0};
     struct buffer body = {0};
     void *resource = memory_new(kind->size);
-    buffer_printf(&name, "name=%s", words[0]);
-    words[0] = buffer_text(&name);
+    buffer_printf(&name, "name=%s", arguments[0]);
+    arguments[0] = buffer_text(&name);
     int status = CTL_EXIT_USAGE;
-    if (ctl_resource_parse(kind, resource, count, words) && message_encode(&body, kind->fields, resource)) {
+    if (ctl_resource_parse(kind, resource, count, arguments) && message_encode(&body, kind->descriptor, resource)) {
         status = ctl_change(options, verb, kind, buffer_view(&body));
     }
-    message_free(kind->fields, resource);
+    message_free(kind->descriptor, resource);
     free(resource);
     buffer_close(&body);
     buffer_close(&name);
     return status;
 }
 
-/* Decodes one resource out of an answer and appends it to a JSON list. */
+/* Decodes a resource and appends it to a JSON array; skips one that does not decode. */
 static void ctl_append_resource(const struct ctl_kind *kind, struct view body, json_t *list)
 {
     void *resource = memory_new(kind->size);
-    if (message_decode(body, kind->fields, resource)) {
+    if (message_decode(body, kind->descriptor, resource)) {
         json_array_append_new(list, ctl_resource_json(kind, resource));
-        message_free(kind->fields, resource);
+        message_free(kind->descriptor, resource);
     }
     free(resource);
 }
@@ -125,29 +125,29 @@
 
 static int ctl_get(const struct ctl_options *options, const struct ctl_kind *kind, const char *name)
 {
-    char method[CTL_METHOD_MAX];
-    ctl_method(method, "Get", kind->singular);
+    char method[CTL_METHOD_SIZE];
+    ctl_method_name(method, "Get", kind->singular);
     ResourceName request = ResourceName_init_zero;
     request.name = (char *)(uintptr_t)name;
     struct buffer reply = {0};
-    ResourceReply found = {0};
+    ResourceReply response = {0};
     int status = CTL_EXIT_FAILURE;
     if (ctl_call(options, method, ResourceName_fields, &request, &reply) &&
-        message_decode(buffer_view(&reply), ResourceReply_fields, &found)) {
+        message_decode(buffer_view(&reply), ResourceReply_fields, &response)) {
         json_t *list = json_array();
-        ctl_append_resource(kind, found.resource, list);
+        ctl_append_resource(kind, response.resource, list);
         status = ctl_print_list(options, kind, list);
     }
     buffer_close(&reply);
     return status;
 }
 
-/* Lists share one shape: field 1 repeats the encoded resources. */
+/* In every List response, field 1 holds the encoded resources; so one parser handles all kinds. */
 static int ctl_list(const struct ctl_options *options, const struct ctl_kind *kind)
 {
-    enum { RESOURCES_TAG = 0x0a };
-    char method[CTL_METHOD_MAX];
-    ctl_method(method, "List", kind->plural);
+    enum { RESOURCES_TAG = 0x0a /* field 1, length-delimited */ };
+    char method[CTL_METHOD_SIZE];
+    ctl_method_name(method, "List", kind->plural);
     ListPoolsRequest request = ListPoolsRequest_init_zero;
     struct buffer reply = {0};
     if (!ctl_call(options, method, ListPoolsRequest_fields, &request, &reply)) {
@@ -179,10 +179,10 @@
     GetStatusRequest request = GetStatusRequest_init_zero;
     GetStatusResponse status = GetStatusResponse_init_zero;
     struct buffer reply = {0};
-    bool read = ctl_call(options, "GetStatus", GetStatusRequest_fields, &request, &reply) &&
+    bool done = ctl_call(options, "GetStatus", GetStatusRequest_fields, &request, &reply) &&
                 message_decode(buffer_view(&reply), GetStatusResponse_fields, &status);
     buffer_close(&reply);
-    if (!read) {
+    if (!done) {
         return CTL_EXIT_FAILURE;
     }
     json_t *groups = json_array();
@@ -221,10 +221,10 @@
     struct buffer reply = {0};
     request.revision = strtoull(revision, NULL, 10);
     request.timeout_ms = options->timeout_ms;
-    bool read = ctl_call(options, "WaitRevision", WaitRevisionRequest_fields, &request, &reply) &&
+    bool done = ctl_call(options, "WaitRevision", WaitRevisionRequest_fields, &request, &reply) &&
                 message_decode(buffer_view(&reply), WaitRevisionResponse_fields, &response);
     buffer_close(&reply);
-    if (!read) {
+    if (!done) {
         return CTL_EXIT_FAILURE;
     }
     if (response.in_force) {
@@ -254,21 +254,21 @@
                 message_decode(buffer_view(&reply), ChangeReplicaResponse_fields, &response);
     buffer_close(&reply);
     if (done) {
-        printf("node %u is %s all %u groups\n", request.node, add ? "a voter of" : "out of", response.groups);
+        printf("node %u is %s all %u groups\n", request.node, add ? "a voter of" : "removed from", response.groups);
     }
     return done ? 0 : CTL_EXIT_FAILURE;
 }
 
 static int ctl_usage(void)
 {
-    fprintf(stderr, "bankbankctl: the command is not known or incomplete\n%s", CTL_COMMANDS);
+    fprintf(stderr, "bankbankctl: unknown or incomplete command\n%s", CTL_COMMANDS);
     return CTL_EXIT_USAGE;
 }
 
-static int ctl_resource_command(const struct ctl_options *options, int count, char **words)
+static int ctl_resource_command(const struct ctl_options *options, int count, char **arguments)
 {
-    const struct ctl_kind *kind = count > 1 ? ctl_kind_find(words[1]) : NULL;
-    const char *verb = words[0];
+    const struct ctl_kind *kind = count > 1 ? ctl_kind_find(arguments[1]) : NULL;
+    const char *verb = arguments[0];
     if (kind == NULL) {
         return ctl_usage();
     }
@@ -279,63 +279,66 @@
         return ctl_usage();
     }
     if (strcmp(verb, "get") == 0) {
-        return ctl_get(options, kind, words[2]);
+        return ctl_get(options, kind, arguments[2]);
     }
     if (strcmp(verb, "delete") == 0) {
-        return ctl_change(options, "Delete", kind, view_of_string(words[2]));
+        return ctl_change(options, "Delete", kind, view_of_string(arguments[2]));
     }
     if (strcmp(verb, "create") == 0) {
-        return ctl_put(options, "Create", kind, count - 2, words + 2);
+        return ctl_create_or_update(options, "Create", kind, count - 2, arguments + 2);
     }
     if (strcmp(verb, "update") == 0) {
-        return ctl_put(options, "Update", kind, count - 2, words + 2);
+        return ctl_create_or_update(options, "Update", kind, count - 2, arguments + 2);
     }
     return ctl_usage();
 }
 
-static int ctl_run(const struct ctl_options *options, int count, char **words)
+static int ctl_run(const struct ctl_options *options, int count, char **arguments)
 {
-    if (strcmp(words[0], "status") == 0) {
+    if (strcmp(arguments[0], "status") == 0) {
         return ctl_status(options);
     }
-    if (strcmp(words[0], "wait") == 0 && count == 2) {
-        return ctl_wait(options, words[1]);
+    if (strcmp(arguments[0], "wait") == 0 && count == 2) {
+        return ctl_wait(options, arguments[1]);
     }
-    bool replica = strcmp(words[0], "replica") == 0 && count == 3;
-    if (replica && (strcmp(words[1], "add") == 0 || strcmp(words[1], "remove") == 0)) {
-        return ctl_replica(options, words[1], words[2]);
+    bool replica = strcmp(arguments[0], "replica") == 0 && count == 3;
+    if (replica && (strcmp(arguments[1], "add") == 0 || strcmp(arguments[1], "remove") == 0)) {
+        return ctl_replica(options, arguments[1], arguments[2]);
     }
-    if (strcmp(words[0], "handover") == 0) {
-        return ctl_handover(options, count - 1, words + 1);
+    if (strcmp(arguments[0], "handover") == 0) {
+        return ctl_handover(options, count - 1, arguments + 1);
     }
-    if (count > 0 && strcmp(words[0], "explain") == 0) {
-        return ctl_explain(count - 1, words + 1);
+    if (count > 0 && strcmp(arguments[0], "explain") == 0) {
+        return ctl_explain(count - 1, arguments + 1);
     }
-    return ctl_resource_command(options, count, words);
+    return ctl_resource_command(options, count, arguments);
 }
 
 int main(int argc, char **argv)
 {
-    struct arg_str *server = arg_str0("s", "server", "IP:PORT", "operator address of a daemon (127.0.0.1:9090)");
+    struct arg_str *server =
+        arg_str0("s", "server", "IP:PORT", "operator address of a daemon (default 127.0.0.1:9090)");
     struct arg_lit *json = arg_lit0(NULL, "json", "print JSON");
-    struct arg_str *request_id = arg_str0(NULL, "request-id", "ID", "id of the change, for safe resends");
-    struct arg_int *expected = arg_int0(NULL, "expected-revision", "N", "change only at this revision");
-    struct arg_int *timeout = arg_int0(NULL, "timeout-ms", "MS", "time for wait (10000)");
-    struct arg_str *old_site = arg_str0(NULL, "old-site", "URL", "the old site's hand-over address");
-    struct arg_str *old_name = arg_str0(NULL, "old-site-name", "NAME", "its name told to callers (old-site)");
-    struct arg_int *epoch = arg_int0(NULL, "epoch", "N", "epoch of the hand-over (1)");
+    struct arg_str *request_id = arg_str0(NULL, "request-id", "ID", "idempotency id of the change (default random)");
+    struct arg_int *expected = arg_int0(NULL, "expected-revision", "N", "reject the change at any other revision");
+    struct arg_int *timeout =
+        arg_int0(NULL, "timeout-ms", "MS", "timeout of wait (default 10000) and replica (default 60000)");
+    struct arg_str *old_site = arg_str0(NULL, "old-site", "URL", "URL of the old site, for hand-overs");
+    struct arg_str *old_name =
+        arg_str0(NULL, "old-site-name", "NAME", "name of the old site reported to callers (default old-site)");
+    struct arg_int *epoch = arg_int0(NULL, "epoch", "N", "epoch of the hand-over (default 1)");
     struct arg_lit *help = arg_lit0("h", "help", "show this text");
-    struct arg_str *words = arg_strn(NULL, NULL, "COMMAND", 0, CTL_MAX_WORDS, NULL);
+    struct arg_str *arguments = arg_strn(NULL, NULL, "COMMAND", 0, CTL_MAX_ARGUMENTS, NULL);
     struct arg_end *end = arg_end(8);
-    void *table[] = {server, json, request_id, expected, timeout, old_site, old_name, epoch, help, words, end};
+    void *table[] = {server, json, request_id, expected, timeout, old_site, old_name, epoch, help, arguments, end};
     int status = 0;
-    int faults = arg_parse(argc, argv, table);
-    if (help->count > 0 || (faults == 0 && words->count == 0)) {
+    int errors = arg_parse(argc, argv, table);
+    if (help->count > 0 || (errors == 0 && arguments->count == 0)) {
         printf("Usage: bankbankctl");
         arg_print_syntax(stdout, table, "\n");
         arg_print_glossary(stdout, table, "  %-28s %s\n");
         printf("%s", CTL_COMMANDS);
-    } else if (faults > 0) {
+    } else if (errors > 0) {
         arg_print_errors(stderr, end, "bankbankctl");
         status = CTL_EXIT_USAGE;
     } else {
@@ -350,7 +353,7 @@
             .epoch = epoch->count > 0 ? (uint64_t)epoch->ival[0] : 1,
         };
         http_client_init();
-        status = ctl_run(&options, words->count, (char **)(uintptr_t)words->sval);
+        status = ctl_run(&options, arguments->count, (char **)(uintptr_t)arguments->sval);
         http_client_close();
     }
     arg_freetable(table, sizeof(table) / sizeof(table[0]));
--- a/src/ctl/resources.c
+++ b/src/ctl/resources.c
@@ -1,4 +1,4 @@
-/* Resources on the command line: parsing, JSON and tables. */
+/* Parses resources from command-line arguments and prints them as JSON and tables. */
 #include <stddef.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -6,21 +6,21 @@
 
 #include "ctl/ctl.h"
 
-enum { CTL_LIST_PARTS = 5, CTL_COLUMN_MAX = 48 };
+enum { CTL_MAX_LIST_PARTS = 5, CTL_CELL_SIZE = 48 };
 
-static const struct ctl_field service_table[] = {
+static const struct ctl_field service_fields[] = {
     {"name", CTL_TEXT, offsetof(Service, name)},
     {"timeout_ms", CTL_UINT32, offsetof(Service, timeout_ms)},
     {"backend", CTL_BACKENDS, 0},
     {NULL, CTL_TEXT, 0},
 };
-static const struct ctl_field pool_table[] = {
+static const struct ctl_field pool_fields[] = {
     {"name", CTL_TEXT, offsetof(Pool, name)},
     {"model", CTL_TEXT, offsetof(Pool, model)},
     {"engine", CTL_ENGINES, 0},
     {NULL, CTL_TEXT, 0},
 };
-static const struct ctl_field policy_table[] = {
+static const struct ctl_field policy_fields[] = {
     {"name", CTL_TEXT, offsetof(Policy, name)},
     {"pool", CTL_TEXT, offsetof(Policy, pool)},
     {"placement", CTL_PLACEMENT, offsetof(Policy, placement)},
@@ -31,7 +31,7 @@
     {"max_identical_calls", CTL_UINT32, offsetof(Policy, max_identical_calls)},
     {NULL, CTL_TEXT, 0},
 };
-static const struct ctl_field tenant_table[] = {
+static const struct ctl_field tenant_fields[] = {
     {"name", CTL_TEXT, offsetof(Tenant, name)},
     {"api_key", CTL_TEXT, offsetof(Tenant, api_key)},
     {"weight", CTL_UINT32, offsetof(Tenant, weight)},
@@ -42,13 +42,14 @@
     {NULL, CTL_TEXT, 0},
 };
 static const struct ctl_kind ctl_kinds[] = {
-    {"service", "Service", "Services", Service_fields, sizeof(Service), service_table},
-    {"pool", "Pool", "Pools", Pool_fields, sizeof(Pool), pool_table},
-    {"policy", "Policy", "Policies", Policy_fields, sizeof(Policy), policy_table},
-    {"tenant", "Tenant", "Tenants", Tenant_fields, sizeof(Tenant), tenant_table},
+    {"service", "Service", "Services", Service_fields, sizeof(Service), service_fields},
+    {"pool", "Pool", "Pools", Pool_fields, sizeof(Pool), pool_fields},
+    {"policy", "Policy", "Policies", Policy_fields, sizeof(Policy), policy_fields},
+    {"tenant", "Tenant", "Tenants", Tenant_fields, sizeof(Tenant), tenant_fields},
 };
+/* Indexed by Placement. */
 static const char *const placement_names[] = {"cache-affinity", "round-robin", "least-loaded", "sticky"};
-enum { PLACEMENT_NAMES = sizeof(placement_names) / sizeof(placement_names[0]) };
+enum { PLACEMENT_COUNT = sizeof(placement_names) / sizeof(placement_names[0]) };
 
 const struct ctl_kind *ctl_kind_find(const char *name)
 {
@@ -62,12 +63,12 @@
 
 /* ---- Parsing ---------------------------------------------------------------------- */
 
-/* Splits "NAME,URL[,ZONE[,...]]" in place; returns the number of parts. */
-static int ctl_split(char *text, char *parts[CTL_LIST_PARTS])
+/* Splits comma-separated text in place and returns the number of parts; ignores parts beyond the limit. */
+static int ctl_split(char *text, char *parts[CTL_MAX_LIST_PARTS])
 {
     int count = 0;
     char *rest = text;
-    while (rest != NULL && count < CTL_LIST_PARTS) {
+    while (rest != NULL && count < CTL_MAX_LIST_PARTS) {
         parts[count++] = strsep(&rest, ",");
     }
     return count;
@@ -76,7 +77,7 @@
 static bool ctl_add_engine(Pool *pool, const char *value)
 {
     char *text = text_copy(value);
-    char *parts[CTL_LIST_PARTS] = {0};
+    char *parts[CTL_MAX_LIST_PARTS] = {0};
     int count = ctl_split(text, parts);
     if (count >= 2) {
         pool->engines = memory_resize(pool->engines, (pool->engines_count + 1U) * sizeof(Engine));
@@ -95,7 +96,7 @@
 static bool ctl_add_backend(Service *service, const char *value)
 {
     char *text = text_copy(value);
-    char *parts[CTL_LIST_PARTS] = {0};
+    char *parts[CTL_MAX_LIST_PARTS] = {0};
     int count = ctl_split(text, parts);
     if (count >= 2) {
         service->backends = memory_resize(service->backends, (service->backends_count + 1U) * sizeof(Backend));
@@ -112,7 +113,7 @@
 
 static bool ctl_parse_placement(const char *value, Placement *placement)
 {
-    for (int i = 0; i < PLACEMENT_NAMES; i++) {
+    for (int i = 0; i < PLACEMENT_COUNT; i++) {
         if (strcmp(placement_names[i], value) == 0) {
             *placement = (Placement)i;
             return true;
@@ -121,30 +122,30 @@
     return false;
 }
 
-static bool ctl_parse_number(const char *value, uint64_t most, uint64_t *number)
+static bool ctl_parse_number(const char *value, uint64_t max, uint64_t *number)
 {
     char *end = NULL;
     *number = strtoull(value, &end, 10);
-    return value[0] >= '0' && value[0] <= '9' && *end == '\0' && *number <= most;
+    return value[0] >= '0' && value[0] <= '9' && *end == '\0' && *number <= max;
 }
 
 static bool ctl_set_field(const struct ctl_field *field, void *resource, const char *value)
 {
-    void *place = (char *)resource + field->offset;
+    void *member = (char *)resource + field->offset;
     uint64_t number = 0;
     switch (field->type) {
     case CTL_TEXT:
-        free(*(char **)place);
-        *(char **)place = text_copy(value);
+        free(*(char **)member);
+        *(char **)member = text_copy(value);
         return true;
     case CTL_UINT32:
         if (!ctl_parse_number(value, UINT32_MAX, &number)) {
             return false;
         }
-        *(uint32_t *)place = (uint32_t)number;
+        *(uint32_t *)member = (uint32_t)number;
         return true;
-    case CTL_UINT64: return ctl_parse_number(value, UINT64_MAX, place);
-    case CTL_PLACEMENT: return ctl_parse_placement(value, place);
+    case CTL_UINT64: return ctl_parse_number(value, UINT64_MAX, member);
+    case CTL_PLACEMENT: return ctl_parse_placement(value, member);
     case CTL_ENGINES: return ctl_add_engine(resource, value);
     case CTL_BACKENDS: return ctl_add_backend(resource, value);
     default: return false;
@@ -154,17 +155,17 @@
 static bool ctl_parse_argument(const struct ctl_kind *kind, void *resource, const char *argument)
 {
     const char *equals = strchr(argument, '=');
-    for (const struct ctl_field *field = kind->table; equals != NULL && field->key != NULL; field++) {
+    for (const struct ctl_field *field = kind->fields; equals != NULL && field->key != NULL; field++) {
         size_t length = (size_t)(equals - argument);
         if (strlen(field->key) == length && strncmp(field->key, argument, length) == 0) {
             if (!ctl_set_field(field, resource, equals + 1)) {
-                fprintf(stderr, "bankbankctl: '%s': the value is not valid\n", argument);
+                fprintf(stderr, "bankbankctl: '%s': invalid value\n", argument);
                 return false;
             }
             return true;
         }
     }
-    fprintf(stderr, "bankbankctl: '%s' is not a field of %s; use key=value\n", argument, kind->name);
+    fprintf(stderr, "bankbankctl: '%s': expected FIELD=VALUE with a field of kind %s\n", argument, kind->name);
     return false;
 }
 
@@ -205,14 +206,14 @@
 
 static json_t *ctl_field_json(const struct ctl_field *field, const void *resource)
 {
-    const void *place = (const char *)resource + field->offset;
+    const void *member = (const char *)resource + field->offset;
     switch (field->type) {
-    case CTL_TEXT: return json_string(text_or_empty(*(char *const *)place));
-    case CTL_UINT32: return json_integer(*(const uint32_t *)place);
-    case CTL_UINT64: return json_integer((json_int_t) * (const uint64_t *)place);
+    case CTL_TEXT: return json_string(text_or_empty(*(char *const *)member));
+    case CTL_UINT32: return json_integer(*(const uint32_t *)member);
+    case CTL_UINT64: return json_integer((json_int_t) * (const uint64_t *)member);
     case CTL_PLACEMENT: {
-        Placement placement = *(const Placement *)place;
-        return json_string((int)placement < PLACEMENT_NAMES ? placement_names[placement] : "unknown");
+        Placement placement = *(const Placement *)member;
+        return json_string((int)placement < PLACEMENT_COUNT ? placement_names[placement] : "unknown");
     }
     case CTL_ENGINES: return ctl_engines_json(resource);
     case CTL_BACKENDS: return ctl_backends_json(resource);
@@ -223,7 +224,7 @@
 json_t *ctl_resource_json(const struct ctl_kind *kind, const void *resource)
 {
     json_t *object = json_object();
-    for (const struct ctl_field *field = kind->table; field->key != NULL; field++) {
+    for (const struct ctl_field *field = kind->fields; field->key != NULL; field++) {
         json_object_set_new(object, field->key, ctl_field_json(field, resource));
     }
     return object;
@@ -231,7 +232,7 @@
 
 static void ctl_print_cell(const json_t *value)
 {
-    char cell[CTL_COLUMN_MAX];
+    char cell[CTL_CELL_SIZE];
     if (json_is_string(value)) {
         snprintf(cell, sizeof(cell), "%s", json_string_value(value));
     } else if (json_is_array(value)) {
@@ -244,12 +245,12 @@
 
 void ctl_print_table(const struct ctl_kind *kind, const json_t *list)
 {
-    for (const struct ctl_field *field = kind->table; field->key != NULL; field++) {
+    for (const struct ctl_field *field = kind->fields; field->key != NULL; field++) {
         printf("%-22s ", field->key);
     }
     printf("\n");
     for (size_t i = 0; i < json_array_size(list); i++) {
-        for (const struct ctl_field *field = kind->table; field->key != NULL; field++) {
+        for (const struct ctl_field *field = kind->fields; field->key != NULL; field++) {
             ctl_print_cell(json_object_get(json_array_get(list, i), field->key));
         }
         printf("\n");
--- a/src/daemon/chat.c
+++ b/src/daemon/chat.c
@@ -9,18 +9,18 @@
 
 enum { CHAT_HANDLED = 200 };
 
-/* Fetches the history that goes before the new messages. */
+/* Reads the stored messages up to the previous call. */
 static bool chat_load_history(struct chat_call *call)
 {
-    if (call->single || call->begun.context_tokens == 0) {
+    if (call->single_call || call->begin_result.context_tokens == 0) {
         return true;
     }
-    uint32_t through = call->number > 1 ? call->number - 1 : 0;
-    ResultCode code = gateway_read_program(call->gateway, call->program_id, through, &call->stored);
+    uint32_t through = call->call_number > 1 ? call->call_number - 1 : 0;
+    ResultCode code = gateway_read_program(call->gateway, call->program_id, through, &call->stored_program);
     return code == RESULT_OK;
 }
 
-/* The policy may allow a call less time than the daemon does. */
+/* A policy may shorten the deadline, never extend it. */
 static void chat_apply_policy_timeout(struct chat_call *call)
 {
     uint32_t limit_ms = call->policy == NULL ? 0 : call->policy->call_timeout_ms;
@@ -37,7 +37,7 @@
     static const struct http_error no_state = {503, "state_unavailable", RUN_STATE_NOT_RUN, 1};
     chat_set_headers(call);
     if (!chat_find_pool(call)) {
-        chat_post_abort(call, ABORT_NOT_RUN);
+        chat_record_abort(call, ABORT_NOT_RUN);
         if (!chat_model_is_known(call)) {
             chat_refuse(call, &no_model, "no pool serves the model");
             return;
@@ -47,7 +47,7 @@
     }
     chat_apply_policy_timeout(call);
     if (!chat_load_history(call)) {
-        chat_post_abort(call, ABORT_NOT_RUN);
+        chat_record_abort(call, ABORT_NOT_RUN);
         chat_refuse(call, &no_state, "the stored history cannot be read now");
         return;
     }
@@ -55,7 +55,7 @@
         struct http_error error = {502, "engine_failed", RUN_STATE_UNKNOWN, 0};
         gateway_count(call->gateway, calls_unknown);
         http_send_error(call->connection, &error, "an attempt was lost and another one is not possible: %s",
-                        text_or_empty(call->begun.message));
+                        text_or_empty(call->begin_result.message));
         return;
     }
     if (call->answer.outcome != CHAT_DONE) {
@@ -70,14 +70,14 @@
     }
 }
 
-/* With the whole history in the request, only what is new goes on. */
-static bool chat_reduce_full_history(struct chat_call *call)
+/* With full history in the request, keeps only the new messages; false: an error was sent. */
+static bool chat_strip_stored_history(struct chat_call *call)
 {
-    if (!call->request.full_history || call->single) {
+    if (!call->request.full_history || call->single_call) {
         return true;
     }
     ProgramView view;
-    uint32_t through = call->request.call == 0 ? UINT32_MAX : call->request.call - 1;
+    uint32_t through = call->request.call_number == 0 ? UINT32_MAX : call->request.call_number - 1;
     ResultCode code = through == 0 ? RESULT_OK : gateway_read_program(call->gateway, call->program_id, through, &view);
     if (through == 0) {
         return true;
@@ -96,7 +96,7 @@
 
 static void chat_serve_admitted(struct chat_call *call)
 {
-    if (!chat_reduce_full_history(call)) {
+    if (!chat_strip_stored_history(call)) {
         return;
     }
     ResultCode code = chat_begin(call, NULL);
@@ -107,7 +107,7 @@
         chat_send_replay(call);
     } else {
         gateway_count(call->gateway, calls_refused);
-        gateway_send_result_error(call->connection, &call->begun);
+        gateway_send_result_error(call->connection, &call->begin_result);
     }
 }
 
@@ -115,9 +115,9 @@
 {
     uint64_t retry_after_ms = 0;
     uint64_t estimate = call->request.new_tokens_bound / 4 + call->request.max_tokens;
-    enum admission_verdict verdict = gateway_admit(call->gateway, call->tenant, limits, estimate, &retry_after_ms);
-    if (verdict != ADMISSION_ACCEPTED) {
-        bool rate = verdict == ADMISSION_RATE_LIMITED;
+    enum admission_result result = gateway_admit(call->gateway, call->tenant, limits, estimate, &retry_after_ms);
+    if (result != ADMISSION_ACCEPTED) {
+        bool rate = result == ADMISSION_RATE_LIMITED;
         struct http_error error = {429, rate ? "rate_limited" : "too_many_calls", RUN_STATE_NOT_RUN,
                                    (int)((retry_after_ms + 999) / 1000)};
         chat_refuse(call, &error, rate ? "the tenant's token rate is used up" : "the tenant has too many calls open");
@@ -125,7 +125,7 @@
     }
     chat_serve_admitted(call);
     uint64_t used = call->answer.prompt_tokens - call->answer.cached_tokens + call->answer.completion_tokens;
-    gateway_release(call->gateway, call->tenant, estimate, used);
+    gateway_release_admission(call->gateway, call->tenant, estimate, used);
 }
 
 static void chat_serve(struct chat_call *call, struct view body)
@@ -147,9 +147,9 @@
         uint64_t timeout_ms =
             call->request.deadline_ms != 0 ? call->request.deadline_ms : call->gateway->settings->call_timeout_ms;
         call->deadline_ms = clock_monotonic_ms() + timeout_ms;
-        call->program_id = call->request.program;
+        call->program_id = call->request.program_id;
         if (call->program_id == NULL) {
-            chat_name_single(call);
+            chat_assign_program_id(call);
         }
         chat_admit(call, &limits);
     }
@@ -159,7 +159,7 @@
 int chat_handle(struct mg_connection *connection, void *context)
 {
     struct gateway *gateway = context;
-    if (!gateway_enter(gateway, connection)) {
+    if (!gateway_begin_request(gateway, connection)) {
         return CHAT_HANDLED;
     }
     struct chat_call *call = memory_new(sizeof(*call));
@@ -185,11 +185,11 @@
     }
     chat_request_close(&call->request);
     chat_answer_close(&call->answer);
-    message_free(EntryResult_fields, &call->begun);
-    message_free(ProgramView_fields, &call->stored);
+    message_free(EntryResult_fields, &call->begin_result);
+    message_free(ProgramView_fields, &call->stored_program);
     config_view_unpin(call->view);
     buffer_close(&body);
     free(call);
-    gateway_leave(gateway);
+    gateway_end_request(gateway);
     return CHAT_HANDLED;
 }
--- a/src/daemon/chat.h
+++ b/src/daemon/chat.h
@@ -1,22 +1,25 @@
 /**
  * @file chat.h
- * POST /v1/chat/completions: the life of one call.
+ * POST /v1/chat/completions: steps of one call.
  *
  *   read -> admit -> begin (ledger) -> place -> attempt at an engine -> finish
  *   (ledger) -> end of the answer
  *
- * Nothing goes to an engine before the begin is committed, and the caller gets
- * the end of its answer only after the finish is. An attempt that certainly
- * did not run is tried elsewhere; one that may have run is repeated only if
- * the call is repeatable and no token has reached the caller; what is left is
- * told as unknown.
+ * Every call belongs to a program (daemon/programs.h); one is created for a call
+ * that names none. The ledger (core/ledger.h) is the replicated record of programs
+ * and calls. No request is sent to an engine before the begin entry is committed,
+ * and the caller receives the end of its answer only after the finish entry is
+ * committed. An attempt that certainly did not run is retried on another engine.
+ * One that may have run is retried only if the call is repeatable and no token has
+ * reached the caller; otherwise the run state of the response (enum run_state) is
+ * "unknown".
  */
 #ifndef BANKBANK_DAEMON_CHAT_H
 #define BANKBANK_DAEMON_CHAT_H
 
 #include "daemon/gateway.h"
 
-/** CivetWeb handler; `context` is the gateway. Returns the HTTP status class handled. */
+/** CivetWeb request handler; `context` is the struct gateway. Returns nonzero: the request was handled. */
 int chat_handle(struct mg_connection *connection, void *context);
 
 #endif
--- a/src/daemon/chat_call.h
+++ b/src/daemon/chat_call.h
@@ -1,12 +1,13 @@
 /**
  * @file chat_call.h
- * One chat call under way, and the parts that work on it; not for others.
+ * State of one chat call and the functions that the chat_*.c modules share.
  *
- *   chat.c           the order of the steps
- *   chat_ledger.c    its entries in the ledger
- *   chat_attempts.c  engines: placement, attempts, retries
+ *   chat.c           order of the steps
+ *   chat_ledger.c    ledger entries of the call
+ *   chat_attempts.c  placement, attempts, retries
  *   chat_engine.c    one attempt at one engine
- *   chat_reply.c     what the caller is sent
+ *   chat_request.c   parsing and validation of the request
+ *   chat_response.c  responses to the caller
  */
 #ifndef BANKBANK_DAEMON_CHAT_CALL_H
 #define BANKBANK_DAEMON_CHAT_CALL_H
@@ -15,85 +16,86 @@
 #include "daemon/chat_engine.h"
 #include "daemon/gateway.h"
 
-enum { CHAT_MAX_ENGINES = 1024 /**< Engines of a pool that are looked at. */ };
+enum { CHAT_MAX_ENGINES = 1024 /**< Placement ignores further engines of a pool. */ };
 
-/** One call under way. */
 struct chat_call {
-    struct gateway *gateway;                 /**< The daemon's gateway. */
-    struct mg_connection *connection;        /**< The caller. */
-    struct config_view *view;                /**< Configuration pinned for the whole call. */
-    struct chat_request request;             /**< What was asked. */
-    const char *tenant;                      /**< Tenant of the key. */
-    const char *default_policy;              /**< Tenant's policy for programs of one, or NULL. */
-    char program[GATEWAY_ID_LENGTH + 1];     /**< Id of a program of one. */
-    const char *program_id;                  /**< Program of the call. */
-    bool single;                             /**< The call is a program of one. */
-    char attempt[LEDGER_ATTEMPT_LENGTH + 1]; /**< Attempt under way. */
-    EntryResult begun;                       /**< The ledger's answer to the begin. */
-    uint32_t number;                         /**< Number of the call in its program. */
-    uint32_t finished_s;                     /**< Wall clock at which the ledger stored the answer. */
-    uint64_t deadline_ms;                    /**< Monotonic time of giving up. */
-    ProgramView stored;                      /**< History before this call. */
-    const Policy *policy;                    /**< Policy of the program, or NULL. */
-    const Pool *pool;                        /**< Pool that serves it. */
-    struct chat_answer answer;               /**< Outcome of the last attempt. */
-    bool lost;                               /**< An attempt was lost and may have run. */
-    char tried[CHAT_MAX_ENGINES];            /**< Engines of the pool that were tried. */
-    char headers[256];                       /**< Header lines of the answer. */
+    struct gateway *gateway;
+    struct mg_connection *connection;
+    struct config_view *view; /**< Pinned until the call ends. */
+    struct chat_request request;
+    const char *tenant;                         /**< Valid until `view` is unpinned. */
+    const char *default_policy;                 /**< Tenant's policy for single-call programs, or NULL. */
+    char single_call_id[GATEWAY_ID_LENGTH + 1]; /**< Generated program id, if single_call. */
+    const char *program_id;
+    bool single_call;                           /**< The request names no program: one is created for it. */
+    char attempt_id[LEDGER_ATTEMPT_LENGTH + 1]; /**< Of the ledger's current attempt; engines get it with a suffix. */
+    EntryResult begin_result;   /**< Of the last begin entry; `engine` is updated to the last engine tried. */
+    uint32_t call_number;       /**< Position in the program, from 1. */
+    uint32_t finished_s;        /**< Wall-clock time, in seconds, when the ledger stored the answer. */
+    uint64_t deadline_ms;       /**< Monotonic clock. */
+    ProgramView stored_program; /**< With the history before this call. */
+    const Policy *policy;       /**< NULL: the program has none. */
+    const Pool *pool;
+    struct chat_answer answer;    /**< Of the last attempt. */
+    bool may_have_run;            /**< An attempt may have run, and its answer is lost. */
+    char tried[CHAT_MAX_ENGINES]; /**< By position in the pool: 1 if the engine was tried. */
+    char headers[256];            /**< Of the response; each line ends with CRLF. */
 };
 
 /* chat_ledger.c */
 
-/** Milliseconds left until the call's limit. */
-uint32_t chat_time_left(const struct chat_call *call);
+/** 0 after the deadline. */
+uint32_t chat_remaining_ms(const struct chat_call *call);
 
-/** Names the program of a call that belongs to none. */
-void chat_name_single(struct chat_call *call);
+/** For a request that names no program: sets `single_call` and a generated program id. */
+void chat_assign_program_id(struct chat_call *call);
 
-/** Begins the call, or a new attempt after the lost one `replaces`; call->begun has the result. */
+/**
+ * Proposes the begin entry of the call (`replaces` NULL), or of a new attempt that
+ * replaces the lost attempt `replaces`; call->begin_result receives the result.
+ */
 ResultCode chat_begin(struct chat_call *call, const char *replaces);
 
-/** Tells the ledger how an attempt without an answer ended; retried in the background. */
-void chat_post_abort(struct chat_call *call, AbortOutcome outcome);
+/** Records in the ledger how an attempt without an answer ended; retried in the background. */
+void chat_record_abort(struct chat_call *call, AbortOutcome outcome);
 
-/** Stores the answer; only on RESULT_OK may the caller get its end. */
+/** Stores the answer in the ledger; the caller may receive its end only after RESULT_OK. */
 ResultCode chat_finish(struct chat_call *call);
 
 /* chat_attempts.c */
 
-/** Finds policy and pool; false: no pool with engines serves the call. */
+/** Sets policy and pool; false if no pool with engines serves the call. */
 bool chat_find_pool(struct chat_call *call);
 
-/** Whether some pool serves the model asked for, or the policy names the pool. */
+/** Whether some pool serves the requested model, or the pool is set by a policy. */
 bool chat_model_is_known(const struct chat_call *call);
 
 /**
- * Runs the call until it is answered or nothing more may be tried. False: the
- * ledger refused another attempt and call->begun tells why.
+ * Runs attempts until the call is answered or no retry is allowed. False if the
+ * ledger refused another attempt; call->begin_result has the reason.
  */
 bool chat_run(struct chat_call *call);
 
-/* chat_reply.c */
+/* chat_response.c */
 
-/** Sets the header lines of the answer. */
 void chat_set_headers(struct chat_call *call);
 
-/** Sends the stored answer of a call that finished before. */
+/** Sends the stored answer of a call that has already finished. */
 void chat_send_replay(struct chat_call *call);
 
-/** Sends the answer, or the end of one that was streamed. */
+/** Sends the answer, or the end of a streamed answer. */
 void chat_send_answer(struct chat_call *call);
 
-/** Tells that the answer is not stored, or that another attempt took the call over. */
+/** Sends the error that the answer could not be stored, or that another attempt superseded this one. */
 void chat_send_unconfirmed(struct chat_call *call, ResultCode code);
 
-/** Tells that no engine answered. */
+/** Sends the error that no engine answered, and records the abort in the ledger. */
 void chat_send_failure(struct chat_call *call);
 
-/** Refuses the call before it ran. */
+/** Sends `error` and counts the call as refused; for calls that did not run. */
 void chat_refuse(struct chat_call *call, const struct http_error *error, const char *message);
 
-/** Refuses a request with all its faults. */
+/** Sends one error that lists all findings. */
 void chat_send_findings(struct mg_connection *connection, const struct findings *findings);
 
 #endif
--- a/src/daemon/chat_engine.c
+++ b/src/daemon/chat_engine.c
@@ -6,22 +6,25 @@
 #include <string.h>
 #include <strings.h>
 
-enum { CHAT_CONNECT_TIMEOUT_MS = 1000, CHAT_PRIORITY_LEVELS = 16, CHAT_PRIORITY_FIRST_TOKENS = 256 };
-enum { CHAT_MAX_ANSWER = 64 << 20, CHAT_STATUS_OK = 200, CHAT_STATUS_UNAVAILABLE = 503 };
+enum {
+    CHAT_CONNECT_TIMEOUT_MS = 1000,
+    CHAT_PRIORITY_LEVELS = 16,
+    CHAT_PRIORITY_BASE_TOKENS = 256 /* limit of level 0; doubles per level */
+};
+enum { CHAT_MAX_RESPONSE_BYTES = 64 << 20, CHAT_STATUS_OK = 200, CHAT_STATUS_UNAVAILABLE = 503 };
 
-/* An attempt under way. */
 struct chat_exchange {
     const struct chat_attempt *attempt;
     struct chat_answer *answer;
     struct sse_parser parser;
-    struct buffer body; /* answer that is not streamed, or an error */
-    bool done_seen;     /* the stream's end marker came */
+    struct buffer body; /* of an error or of a response that is not streamed */
+    bool done_seen;     /* "data: [DONE]" was received */
 };
 
 uint32_t chat_priority(uint64_t attained_tokens)
 {
     uint32_t level = 0;
-    uint64_t limit = CHAT_PRIORITY_FIRST_TOKENS;
+    uint64_t limit = CHAT_PRIORITY_BASE_TOKENS;
     while (attained_tokens >= limit && level + 1 < CHAT_PRIORITY_LEVELS) {
         level++;
         limit *= 2;
@@ -31,21 +34,21 @@
 
 /* ---- Request --------------------------------------------------------------------- */
 
-/* The caller's body with history, limits and priority in place of its own. */
+/* The caller's body with the stored history, the granted tokens and the priority. */
 static void chat_build_body(const struct chat_attempt *attempt, struct buffer *out)
 {
     const struct chat_request *request = attempt->request;
-    json_t *rest = json_copy(request->root);
-    json_object_del(rest, "messages");
-    json_object_del(rest, "max_completion_tokens");
-    json_object_set_new(rest, "model", json_string(attempt->model));
-    json_object_set_new(rest, "max_tokens", json_integer((json_int_t)attempt->max_tokens));
-    json_object_set_new(rest, "priority", json_integer((json_int_t)attempt->priority));
+    json_t *options = json_copy(request->root);
+    json_object_del(options, "messages");
+    json_object_del(options, "max_completion_tokens");
+    json_object_set_new(options, "model", json_string(attempt->model));
+    json_object_set_new(options, "max_tokens", json_integer((json_int_t)attempt->max_tokens));
+    json_object_set_new(options, "priority", json_integer((json_int_t)attempt->priority));
     if (request->stream) {
-        json_object_set_new(rest, "stream_options", json_pack("{s:b}", "include_usage", 1));
+        json_object_set_new(options, "stream_options", json_pack("{s:b}", "include_usage", 1));
     }
-    char *text = json_dumps(rest, JSON_COMPACT);
-    json_decref(rest);
+    char *text = json_dumps(options, JSON_COMPACT);
+    json_decref(options);
     bool has_history = text_or_empty(attempt->history)[0] != '\0';
     buffer_append_text(out, "{\"messages\":[");
     buffer_append_text(out, attempt->history);
@@ -64,7 +67,7 @@
     size_t prefix = sizeof(CHAT_ID_PREFIX) - 1;
     bool matches = id != NULL && strncmp(id, CHAT_ID_PREFIX, prefix) == 0 &&
                    strcmp(id + prefix, exchange->attempt->attempt_id) == 0;
-    exchange->answer->crossed = exchange->answer->crossed || !matches;
+    exchange->answer->id_mismatch = exchange->answer->id_mismatch || !matches;
     return matches;
 }
 
@@ -93,17 +96,16 @@
     buffer_close(&joined);
 }
 
-/* Joins the pieces of one tool call. */
-static void chat_merge_tool_call(json_t *calls, const json_t *piece)
+static void chat_merge_tool_call(json_t *calls, const json_t *fragment)
 {
-    size_t index = (size_t)json_integer_value(json_object_get(piece, "index"));
+    size_t index = (size_t)json_integer_value(json_object_get(fragment, "index"));
     while (json_array_size(calls) <= index && index < 128) {
         json_array_append_new(
             calls, json_pack("{s:s,s:{s:s,s:s}}", "type", "function", "function", "name", "", "arguments", ""));
     }
     json_t *call = json_array_get(calls, index);
-    const json_t *function = json_object_get(piece, "function");
-    const char *id = json_string_value(json_object_get(piece, "id"));
+    const json_t *function = json_object_get(fragment, "function");
+    const char *id = json_string_value(json_object_get(fragment, "id"));
     if (call == NULL) {
         return;
     }
@@ -122,8 +124,8 @@
         answer->chunks++;
     }
     buffer_append_text(&answer->content, content);
-    const json_t *pieces = json_object_get(delta, "tool_calls");
-    if (json_array_size(pieces) == 0) {
+    const json_t *fragments = json_object_get(delta, "tool_calls");
+    if (json_array_size(fragments) == 0) {
         return;
     }
     json_t *calls = json_object_get(answer->message, "tool_calls");
@@ -131,12 +133,12 @@
         calls = json_array();
         json_object_set_new(answer->message, "tool_calls", calls);
     }
-    for (size_t i = 0; i < json_array_size(pieces); i++) {
-        chat_merge_tool_call(calls, json_array_get(pieces, i));
+    for (size_t i = 0; i < json_array_size(fragments); i++) {
+        chat_merge_tool_call(calls, json_array_get(fragments, i));
     }
 }
 
-/* Appends an event's payload, the id cut to the part that the caller sees. */
+/* Shortens the attempt id in the payload to the part that the caller sees. */
 static void chat_append_payload(const struct chat_attempt *attempt, struct view payload, struct buffer *out)
 {
     size_t length = strlen(attempt->attempt_id);
@@ -145,13 +147,14 @@
         buffer_append(out, payload.data, payload.length);
         return;
     }
-    size_t before = (size_t)(id - payload.data) + attempt->caller_id_length;
+    size_t before = (size_t)(id - payload.data) + attempt->public_id_length;
     size_t after = (size_t)(id - payload.data) + length;
     buffer_append(out, payload.data, before);
     buffer_append(out, payload.data + after, payload.length - after);
 }
 
-/* Sends an event to the caller, or holds it back once the answer is complete. */
+/* Sends an event to the caller. The event with the finish reason and all later ones are deferred until the finish
+ * entry is committed. */
 static void chat_forward(struct chat_exchange *exchange, struct view payload)
 {
     struct chat_answer *answer = exchange->answer;
@@ -160,15 +163,15 @@
     chat_append_payload(exchange->attempt, payload, &event);
     buffer_append_text(&event, "\n\n");
     if (answer->finish_reason != NULL) {
-        buffer_append(&answer->held, event.data, event.length);
-    } else if (!answer->caller_gone) {
+        buffer_append(&answer->deferred_events, event.data, event.length);
+    } else if (!answer->caller_disconnected) {
         if (!answer->stream_started) {
             answer->stream_started = true;
-            answer->caller_gone = !http_start_stream(exchange->attempt->connection, "text/event-stream",
-                                                     exchange->attempt->stream_headers);
+            answer->caller_disconnected = !http_start_stream(exchange->attempt->connection, "text/event-stream",
+                                                             exchange->attempt->stream_headers);
         }
-        answer->caller_gone =
-            answer->caller_gone || !http_send_chunk(exchange->attempt->connection, buffer_view(&event));
+        answer->caller_disconnected =
+            answer->caller_disconnected || !http_send_chunk(exchange->attempt->connection, buffer_view(&event));
     }
     buffer_close(&event);
 }
@@ -196,7 +199,7 @@
         }
     }
     json_decref(event);
-    return usable && !(answer->caller_gone && exchange->attempt->stop_when_gone);
+    return usable && !(answer->caller_disconnected && exchange->attempt->cancel_on_disconnect);
 }
 
 /* ---- Transfer ------------------------------------------------------------------------ */
@@ -207,7 +210,7 @@
     if (status == CHAT_STATUS_OK && exchange->attempt->request->stream) {
         return sse_feed(&exchange->parser, data, chat_on_event, exchange);
     }
-    if (exchange->body.length + data.length > CHAT_MAX_ANSWER) {
+    if (exchange->body.length + data.length > CHAT_MAX_RESPONSE_BYTES) {
         return false;
     }
     buffer_append(&exchange->body, data.data, data.length);
@@ -230,50 +233,50 @@
     }
 }
 
-static void chat_read_whole(struct chat_exchange *exchange)
+static void chat_read_response_body(struct chat_exchange *exchange)
 {
     struct chat_answer *answer = exchange->answer;
-    json_t *whole = json_input_parse(buffer_view(&exchange->body), NULL);
-    const json_t *choice = json_array_get(json_object_get(whole, "choices"), 0);
+    json_t *body = json_input_parse(buffer_view(&exchange->body), NULL);
+    const json_t *choice = json_array_get(json_object_get(body, "choices"), 0);
     json_t *message = json_object_get(choice, "message");
-    if (!json_is_object(message) || !chat_id_matches(exchange, whole)) {
-        json_decref(whole);
-        answer->outcome = CHAT_LOST;
+    if (!json_is_object(message) || !chat_id_matches(exchange, body)) {
+        json_decref(body);
+        answer->outcome = CHAT_UNKNOWN;
         return;
     }
     json_decref(answer->message);
     answer->message = json_deep_copy(message);
     answer->finish_reason = text_copy(json_string_value(json_object_get(choice, "finish_reason")));
-    chat_read_usage(answer, json_object_get(whole, "usage"));
-    answer->whole = whole;
+    chat_read_usage(answer, json_object_get(body, "usage"));
+    answer->response_body = body;
     answer->outcome = CHAT_DONE;
 }
 
-/* Engines answer 4xx and 503 before they run anything. */
-static void chat_read_refusal(struct chat_exchange *exchange)
+/* Engines return 4xx and 503 before they run anything. */
+static void chat_read_error(struct chat_exchange *exchange)
 {
     struct chat_answer *answer = exchange->answer;
     answer->error = text_copy(buffer_text(&exchange->body));
     bool refused = answer->status >= 400 && answer->status < 500;
     bool unavailable = answer->status == CHAT_STATUS_UNAVAILABLE;
-    answer->outcome = unavailable || answer->status == 429 ? CHAT_NOT_RUN : refused ? CHAT_REJECTED : CHAT_LOST;
+    answer->outcome = unavailable || answer->status == 429 ? CHAT_NOT_RUN : refused ? CHAT_REJECTED : CHAT_UNKNOWN;
 }
 
-static void chat_conclude(struct chat_exchange *exchange, enum http_transfer_result result)
+static void chat_set_outcome(struct chat_exchange *exchange, enum http_transfer_result result)
 {
     struct chat_answer *answer = exchange->answer;
     if (result == HTTP_TRANSFER_NOT_SENT) {
         answer->outcome = CHAT_NOT_RUN;
     } else if (result != HTTP_TRANSFER_DONE) {
-        answer->outcome = CHAT_LOST;
+        answer->outcome = CHAT_UNKNOWN;
     } else if (answer->status != CHAT_STATUS_OK) {
-        chat_read_refusal(exchange);
+        chat_read_error(exchange);
     } else if (exchange->attempt->request->stream) {
-        bool whole = exchange->done_seen && answer->finish_reason != NULL;
+        bool complete = exchange->done_seen && answer->finish_reason != NULL;
         json_object_set_new(answer->message, "content", json_string(buffer_text(&answer->content)));
-        answer->outcome = whole ? CHAT_DONE : CHAT_LOST;
+        answer->outcome = complete ? CHAT_DONE : CHAT_UNKNOWN;
     } else {
-        chat_read_whole(exchange);
+        chat_read_response_body(exchange);
     }
 }
 
@@ -297,13 +300,13 @@
         .on_data = chat_on_data,
         .on_header = chat_on_header,
     };
-    http_request_header(&request, "Content-Type: application/json");
-    http_request_header(&request, "X-Request-Id: %s", attempt->attempt_id);
-    if (attempt->program != NULL) {
-        http_request_header(&request, "X-Program-Id: %s", attempt->program);
+    http_request_add_header(&request, "Content-Type: application/json");
+    http_request_add_header(&request, "X-Request-Id: %s", attempt->attempt_id);
+    if (attempt->program_id != NULL) {
+        http_request_add_header(&request, "X-Program-Id: %s", attempt->program_id);
     }
     enum http_transfer_result result = http_client_run(&request, &answer->status);
-    chat_conclude(&exchange, result);
+    chat_set_outcome(&exchange, result);
     http_request_close(&request);
     sse_close(&exchange.parser);
     buffer_close(&exchange.body);
@@ -314,10 +317,10 @@
 void chat_answer_close(struct chat_answer *answer)
 {
     json_decref(answer->message);
-    json_decref(answer->whole);
+    json_decref(answer->response_body);
     free(answer->finish_reason);
     free(answer->error);
-    buffer_close(&answer->held);
+    buffer_close(&answer->deferred_events);
     buffer_close(&answer->content);
     memset(answer, 0, sizeof(*answer));
 }
--- a/src/daemon/chat_engine.h
+++ b/src/daemon/chat_engine.h
@@ -1,11 +1,12 @@
 /**
  * @file chat_engine.h
- * One attempt of a call at one engine: sends the request, passes tokens on as
- * they come, gathers the answer and checks that it belongs to this attempt.
+ * One attempt of a call at one engine: sends the request, forwards streamed
+ * tokens to the caller, collects the answer and checks that it belongs to this
+ * attempt.
  *
- * The attempt id travels in X-Request-Id; an engine answers with the
- * completion id "chatcmpl-" followed by it (as vLLM does). Any other id is an
- * answer to somebody else and is dropped.
+ * The attempt id is sent in X-Request-Id. The engine answers with a completion
+ * id of "chatcmpl-" followed by the attempt id, as vLLM does. An answer with any
+ * other id belongs to another attempt and is dropped.
  */
 #ifndef BANKBANK_DAEMON_CHAT_ENGINE_H
 #define BANKBANK_DAEMON_CHAT_ENGINE_H
@@ -18,64 +19,60 @@
 #include "net/http_client.h"
 #include "net/sse.h"
 
-/** Completion ids: this and the attempt id. */
+/** Start of a completion id; the attempt id follows. */
 #define CHAT_ID_PREFIX "chatcmpl-"
 
-/** How an attempt ended. */
 enum chat_outcome {
-    CHAT_DONE,    /**< The whole answer is there. */
+    CHAT_DONE,    /**< The complete answer was received. */
     CHAT_NOT_RUN, /**< The engine certainly did not run it. */
-    CHAT_LOST,    /**< It may have run; the answer is lost. */
+    CHAT_UNKNOWN, /**< It may have run; the answer is lost. */
     CHAT_REJECTED /**< The engine refused the request itself; it did not run. */
 };
 
-/** What an attempt needs. */
 struct chat_attempt {
-    const struct chat_request *request; /**< The caller's request. */
-    struct mg_connection *connection;   /**< The caller. */
-    const char *engine_url;             /**< Engine's base URL. */
-    const char *attempt_id;             /**< Id matched on the answer. */
-    size_t caller_id_length;            /**< Leading part of it that the caller sees, bytes. */
-    const char *program;                /**< Program id told to the engine; NULL: nothing is kept there. */
-    const char *model;                  /**< Model asked for. */
-    const char *history;                /**< Stored messages as JSON without brackets. */
-    const char *stream_headers;         /**< Header lines of the streamed answer. */
-    uint64_t max_tokens;                /**< Granted completion tokens. */
-    uint32_t priority;                  /**< Lower is served earlier. */
-    uint32_t timeout_ms;                /**< Time left. */
-    bool at_most_once;                  /**< Not repeatable. */
-    bool stop_when_gone;                /**< Nobody can ask for the answer again: cancel when the caller leaves. */
+    const struct chat_request *request;
+    struct mg_connection *connection; /**< The caller's. */
+    const char *engine_url;           /**< Base URL. */
+    const char *attempt_id;           /**< The answer's completion id must be CHAT_ID_PREFIX followed by it. */
+    size_t public_id_length;          /**< Bytes of attempt_id, from its start, that the caller sees. */
+    const char *program_id;           /**< Sent to the engine; NULL: the engine keeps no cache for the program. */
+    const char *model;                /**< Name sent to the engine. */
+    const char *history;              /**< Stored messages: the elements of a JSON array, without the brackets. */
+    const char *stream_headers;       /**< Header lines of a streamed response. */
+    uint64_t max_tokens;              /**< Granted by the ledger. */
+    uint32_t priority;                /**< Lower values are served first. */
+    uint32_t timeout_ms;
+    bool at_most_once;         /**< Never send the request twice; the call is not repeatable. */
+    bool cancel_on_disconnect; /**< Cancel if the caller disconnects: the answer cannot be requested again. */
 };
 
-/** What came of it. */
 struct chat_answer {
-    enum chat_outcome outcome;     /**< How it ended. */
-    bool crossed;                  /**< Another attempt's answer came. */
-    bool caller_gone;              /**< The caller does not read any more. */
-    bool stream_started;           /**< Header and maybe tokens went to the caller. */
-    int status;                    /**< Engine's HTTP status, 0: none. */
-    json_t *message;               /**< Assistant message. */
-    struct buffer content;         /**< Its text so far, while streaming. */
-    char *finish_reason;           /**< Engine's reason. */
-    uint64_t prompt_tokens;        /**< Usage as reported. */
-    uint64_t completion_tokens;    /**< Usage as reported. */
-    uint64_t cached_tokens;        /**< Usage as reported. */
-    bool has_usage;                /**< The engine reported usage. */
-    uint64_t chunks;               /**< Streamed parts with content. */
-    json_t *whole;                 /**< Whole answer, when not streamed. */
-    struct buffer held;            /**< Last events of a stream, held back until the commit. */
-    struct endpoint_report report; /**< Load told in the headers. */
-    bool draining;                 /**< The engine said that it drains. */
-    char *error;                   /**< Engine's error text. */
+    enum chat_outcome outcome;
+    bool id_mismatch; /**< The completion id is not that of this attempt. */
+    bool caller_disconnected;
+    bool stream_started;   /**< The response header, and possibly tokens, were sent. */
+    int status;            /**< HTTP status; 0: no response. */
+    json_t *message;       /**< Assistant message; a stream's text is added from `content` at the end. */
+    struct buffer content; /**< Streamed text so far. */
+    char *finish_reason;   /**< NULL: none received. */
+    uint64_t prompt_tokens;
+    uint64_t completion_tokens;
+    uint64_t cached_tokens;        /**< Part of prompt_tokens. */
+    bool has_usage;                /**< The engine reported the token counts. */
+    uint64_t chunks;               /**< Streamed events with content. */
+    json_t *response_body;         /**< Parsed; NULL if streamed or not complete. */
+    struct buffer deferred_events; /**< End of the stream, sent after the finish entry is committed. */
+    struct endpoint_report report; /**< From the response headers. */
+    bool draining;                 /**< From the response headers. */
+    char *error;                   /**< Body of the engine's error response, or NULL. */
 };
 
-/** Runs the attempt. */
+/** Runs the attempt and fills `answer`; free it with chat_answer_close(). */
 void chat_engine_run(const struct chat_attempt *attempt, struct chat_answer *answer);
 
-/** Frees the answer. */
 void chat_answer_close(struct chat_answer *answer);
 
-/** Priority sent to engines: grows with the service that a program had, 0 to 15. */
+/** Priority sent to engines, 0 to 15; the more tokens a program has already been served, the higher the value. */
 uint32_t chat_priority(uint64_t attained_tokens);
 
 #endif
--- a/src/daemon/chat_request.c
+++ b/src/daemon/chat_request.c
@@ -7,14 +7,14 @@
 
 #include <xxhash.h>
 
-enum { CHAT_MAX_ID = 128 };
+enum { CHAT_MAX_ID_LENGTH = 128 };
 
-static bool chat_read_number(const char *text, uint64_t least, uint64_t most, uint64_t *value)
+static bool chat_read_number(const char *text, uint64_t minimum, uint64_t maximum, uint64_t *value)
 {
     char *end = NULL;
     errno = 0;
     unsigned long long number = strtoull(text, &end, 10);
-    if (text[0] < '0' || text[0] > '9' || *end != '\0' || errno != 0 || number < least || number > most) {
+    if (text[0] < '0' || text[0] > '9' || *end != '\0' || errno != 0 || number < minimum || number > maximum) {
         return false;
     }
     *value = number;
@@ -24,21 +24,22 @@
 static void chat_read_headers(struct chat_request *request, struct mg_connection *connection, struct findings *findings)
 {
     uint64_t number = 0;
-    request->program = mg_get_header(connection, "X-Program-Id");
-    if (request->program != NULL && (request->program[0] == '\0' || strlen(request->program) > CHAT_MAX_ID)) {
-        findings_add(findings, "X-Program-Id", "must have 1 to %d characters", CHAT_MAX_ID);
+    request->program_id = mg_get_header(connection, "X-Program-Id");
+    if (request->program_id != NULL &&
+        (request->program_id[0] == '\0' || strlen(request->program_id) > CHAT_MAX_ID_LENGTH)) {
+        findings_add(findings, "X-Program-Id", "must have 1 to %d characters", CHAT_MAX_ID_LENGTH);
     }
     const char *call = mg_get_header(connection, "X-Program-Call");
     if (call != NULL && !chat_read_number(call, 1, UINT32_MAX - 1, &number)) {
         findings_add(findings, "X-Program-Call", "must be a whole number from 1");
     }
-    request->call = call == NULL ? 0 : (uint32_t)number;
-    if (call != NULL && request->program == NULL) {
+    request->call_number = call == NULL ? 0 : (uint32_t)number;
+    if (call != NULL && request->program_id == NULL) {
         findings_add(findings, "X-Program-Call", "needs X-Program-Id");
     }
     request->idempotency_key = mg_get_header(connection, "Idempotency-Key");
-    if (request->idempotency_key != NULL && strlen(request->idempotency_key) > CHAT_MAX_ID) {
-        findings_add(findings, "Idempotency-Key", "must have at most %d characters", CHAT_MAX_ID);
+    if (request->idempotency_key != NULL && strlen(request->idempotency_key) > CHAT_MAX_ID_LENGTH) {
+        findings_add(findings, "Idempotency-Key", "must have at most %d characters", CHAT_MAX_ID_LENGTH);
     }
     const char *repeatable = mg_get_header(connection, "X-Repeatable");
     request->repeatable = repeatable == NULL || strcmp(repeatable, "false") != 0;
@@ -58,20 +59,20 @@
 
 static void chat_check_message(const json_t *message, size_t position, struct findings *findings)
 {
-    struct buffer place = {0};
-    buffer_printf(&place, "messages[%zu]", position);
+    struct buffer location = {0};
+    buffer_printf(&location, "messages[%zu]", position);
     const json_t *content = json_object_get(message, "content");
     if (!json_is_object(message)) {
-        findings_add(findings, buffer_text(&place), "must be an object");
+        findings_add(findings, buffer_text(&location), "must be an object");
     } else if (!json_is_string(json_object_get(message, "role"))) {
-        findings_add(findings, buffer_text(&place), "role must be a text");
+        findings_add(findings, buffer_text(&location), "role must be a text");
     } else if (content != NULL && !json_is_string(content) && !json_is_array(content) && !json_is_null(content)) {
-        findings_add(findings, buffer_text(&place), "content must be a text or a list of parts");
+        findings_add(findings, buffer_text(&location), "content must be a text or a list of parts");
     }
-    buffer_close(&place);
+    buffer_close(&location);
 }
 
-/* Text of the messages as they are stored: JSON without the outer brackets. */
+/* The stored form omits the outer brackets of the JSON array. */
 static void chat_set_messages_text(struct chat_request *request)
 {
     free(request->messages_text);
@@ -81,7 +82,7 @@
     free(text);
 }
 
-static void chat_read_limit(struct chat_request *request, const char *key, struct findings *findings)
+static void chat_read_max_tokens(struct chat_request *request, const char *key, struct findings *findings)
 {
     const json_t *value = json_object_get(request->root, key);
     if (value == NULL || json_is_null(value)) {
@@ -117,12 +118,12 @@
         findings_add(findings, "n", "only one choice is served");
     }
     request->max_tokens = CHAT_DEFAULT_MAX_TOKENS;
-    chat_read_limit(request, "max_tokens", findings);
-    chat_read_limit(request, "max_completion_tokens", findings);
+    chat_read_max_tokens(request, "max_tokens", findings);
+    chat_read_max_tokens(request, "max_completion_tokens", findings);
 }
 
-/* Two requests are the same if they differ only in how the answer is sent. */
-static void chat_measure(struct chat_request *request)
+/* A resent request may differ in the stream options, so the hash ignores them. */
+static void chat_set_hash_and_bound(struct chat_request *request)
 {
     json_t *copy = json_copy(request->root);
     json_object_del(copy, "stream");
@@ -130,9 +131,9 @@
     char *text = json_dumps(copy, JSON_COMPACT | JSON_SORT_KEYS);
     size_t length = strlen(text);
     request->body_hash = XXH64(text, length, 0);
-    /* A token covers at least one byte; tools and the like are part of the prompt too. */
-    size_t messages = json_array_size(request->messages) + 1; /* and the stored answer before them */
-    request->new_tokens_bound = length + messages * CHAT_MESSAGE_OVERHEAD;
+    /* A token covers at least one byte. All members count: some, such as tools, are part of the prompt. */
+    size_t message_count = json_array_size(request->messages) + 1; /* plus the stored answer that precedes them */
+    request->new_tokens_bound = length + message_count * CHAT_MESSAGE_OVERHEAD_TOKENS;
     free(text);
     json_decref(copy);
 }
@@ -160,7 +161,7 @@
     chat_read_options(request, findings);
     if (findings->count == 0) {
         chat_set_messages_text(request);
-        chat_measure(request);
+        chat_set_hash_and_bound(request);
     }
 }
 
@@ -189,7 +190,7 @@
     json_decref(stored);
     if (extends) {
         chat_set_messages_text(request);
-        chat_measure(request);
+        chat_set_hash_and_bound(request);
     }
     return extends;
 }
--- a/src/daemon/chat_reply.c
+++ b/src/daemon/chat_response.c
@@ -1,4 +1,4 @@
-/* What a caller is sent: the answer, a stored answer, or an error. */
+/* Responses to the caller: the answer, a stored answer, or an error. */
 #include "daemon/chat_call.h"
 #include "net/json_input.h"
 
@@ -7,12 +7,12 @@
 
 void chat_set_headers(struct chat_call *call)
 {
-    if (call->single) {
+    if (call->single_call) {
         snprintf(call->headers, sizeof(call->headers), "X-Run-State: run\r\n");
         return;
     }
     snprintf(call->headers, sizeof(call->headers), "X-Run-State: run\r\nX-Program-Id: %s\r\nX-Program-Call: %u\r\n",
-             call->program_id, call->number);
+             call->program_id, call->call_number);
 }
 
 static json_t *chat_usage(uint64_t prompt, uint64_t completion, uint64_t cached)
@@ -22,18 +22,19 @@
                      "cached_tokens", (json_int_t)cached);
 }
 
-/* Head of a stored answer: id and time are those of the first answer. */
-static json_t *chat_envelope(const struct chat_call *call, const char *object)
+/* Members that a replayed answer has in both forms, JSON and stream; id and time equal the original ones. */
+static json_t *chat_new_completion(const struct chat_call *call, const char *object)
 {
     struct buffer id = {0};
-    buffer_printf(&id, CHAT_ID_PREFIX "%s", text_or_empty(call->begun.attempt));
-    json_t *envelope = json_pack("{s:s,s:s,s:I,s:s}", "id", buffer_text(&id), "object", object, "created",
-                                 (json_int_t)call->begun.finished_s, "model", text_or_empty(call->request.model));
+    buffer_printf(&id, CHAT_ID_PREFIX "%s", text_or_empty(call->begin_result.attempt));
+    json_t *completion_object =
+        json_pack("{s:s,s:s,s:I,s:s}", "id", buffer_text(&id), "object", object, "created",
+                  (json_int_t)call->begin_result.finished_s, "model", text_or_empty(call->request.model));
     buffer_close(&id);
-    return envelope;
+    return completion_object;
 }
 
-static void chat_add_event(struct buffer *out, json_t *event)
+static void chat_append_event(struct buffer *out, json_t *event)
 {
     char *text = json_dumps(event, JSON_COMPACT);
     buffer_printf(out, "data: ");
@@ -43,7 +44,7 @@
     json_decref(event);
 }
 
-/* A stored answer as a stream: one event with the message, one with the end. */
+/* Events: the message, the finish reason, and the usage if requested. */
 static void chat_send_replay_stream(struct chat_call *call, json_t *message, const EntryResult *result)
 {
     struct buffer events = {0};
@@ -51,20 +52,20 @@
     for (size_t i = 0; i < json_array_size(calls); i++) {
         json_object_set_new(json_array_get(calls, i), "index", json_integer((json_int_t)i));
     }
-    json_t *event = chat_envelope(call, "chat.completion.chunk");
+    json_t *event = chat_new_completion(call, "chat.completion.chunk");
     json_object_set_new(event, "choices", json_pack("[{s:i,s:O,s:n}]", "index", 0, "delta", message, "finish_reason"));
-    chat_add_event(&events, event);
-    event = chat_envelope(call, "chat.completion.chunk");
+    chat_append_event(&events, event);
+    event = chat_new_completion(call, "chat.completion.chunk");
     json_object_set_new(
         event, "choices",
         json_pack("[{s:i,s:{},s:s}]", "index", 0, "delta", "finish_reason", text_or_empty(result->finish_reason)));
-    chat_add_event(&events, event);
+    chat_append_event(&events, event);
     if (call->request.include_usage) {
-        event = chat_envelope(call, "chat.completion.chunk");
+        event = chat_new_completion(call, "chat.completion.chunk");
         json_object_set_new(event, "choices", json_array());
         json_object_set_new(event, "usage",
                             chat_usage(result->prompt_tokens, result->completion_tokens, result->cached_tokens));
-        chat_add_event(&events, event);
+        chat_append_event(&events, event);
     }
     buffer_append_text(&events, "data: [DONE]\n\n");
     if (http_start_stream(call->connection, "text/event-stream", call->headers)) {
@@ -83,9 +84,9 @@
 
 void chat_send_replay(struct chat_call *call)
 {
-    const EntryResult *result = &call->begun;
+    const EntryResult *result = &call->begin_result;
     gateway_count(call->gateway, calls_replayed);
-    call->number = result->call;
+    call->call_number = result->call;
     chat_set_headers(call);
     json_t *message = json_input_parse(view_of_string(text_or_empty(result->answer)), NULL);
     if (message == NULL) {
@@ -96,7 +97,7 @@
     if (call->request.stream) {
         chat_send_replay_stream(call, message, result);
     } else {
-        json_t *body = chat_envelope(call, "chat.completion");
+        json_t *body = chat_new_completion(call, "chat.completion");
         json_object_set_new(body, "choices",
                             json_pack("[{s:i,s:O,s:s}]", "index", 0, "message", message, "finish_reason",
                                       text_or_empty(result->finish_reason)));
@@ -108,7 +109,7 @@
     json_decref(message);
 }
 
-/* An error after the answer may have begun to flow. */
+/* Sends the error as a stream event if the response has already started. */
 static void chat_send_late_error(struct chat_call *call, const struct http_error *error, const char *message)
 {
     if (!call->answer.stream_started) {
@@ -119,22 +120,22 @@
     buffer_append_text(&event, "data: ");
     http_error_body(error, message, &event);
     buffer_append_text(&event, "\n\n");
-    if (!call->answer.caller_gone && http_send_chunk(call->connection, buffer_view(&event))) {
+    if (!call->answer.caller_disconnected && http_send_chunk(call->connection, buffer_view(&event))) {
         http_end_stream(call->connection);
     }
     buffer_close(&event);
     mg_disable_connection_keep_alive(call->connection);
 }
 
-/* The engine's answer with the id and time that a replay will have too. */
-static void chat_send_whole(struct chat_call *call)
+/* Id and time equal those of a replay. */
+static void chat_send_response_body(struct chat_call *call)
 {
     struct buffer id = {0};
-    buffer_printf(&id, CHAT_ID_PREFIX "%s", call->attempt);
-    json_object_set_new(call->answer.whole, "id", json_string(buffer_text(&id)));
-    json_object_set_new(call->answer.whole, "created", json_integer((json_int_t)call->finished_s));
-    json_object_set_new(call->answer.whole, "model", json_string(text_or_empty(call->request.model)));
-    chat_send_json(call, call->answer.whole);
+    buffer_printf(&id, CHAT_ID_PREFIX "%s", call->attempt_id);
+    json_object_set_new(call->answer.response_body, "id", json_string(buffer_text(&id)));
+    json_object_set_new(call->answer.response_body, "created", json_integer((json_int_t)call->finished_s));
+    json_object_set_new(call->answer.response_body, "model", json_string(text_or_empty(call->request.model)));
+    chat_send_json(call, call->answer.response_body);
     buffer_close(&id);
 }
 
@@ -146,19 +147,18 @@
     gateway_add(call->gateway, cached_tokens, answer->cached_tokens);
     gateway_add(call->gateway, completion_tokens, answer->completion_tokens);
     if (!call->request.stream) {
-        chat_send_whole(call);
+        chat_send_response_body(call);
         return;
     }
     if (!answer->stream_started) {
-        answer->caller_gone = !http_start_stream(call->connection, "text/event-stream", call->headers);
+        answer->caller_disconnected = !http_start_stream(call->connection, "text/event-stream", call->headers);
     }
-    buffer_append_text(&answer->held, "data: [DONE]\n\n");
-    if (!answer->caller_gone && http_send_chunk(call->connection, buffer_view(&answer->held))) {
+    buffer_append_text(&answer->deferred_events, "data: [DONE]\n\n");
+    if (!answer->caller_disconnected && http_send_chunk(call->connection, buffer_view(&answer->deferred_events))) {
         http_end_stream(call->connection);
     }
 }
 
-/* The ledger did not confirm the finish in time: the answer is not final. */
 void chat_send_unconfirmed(struct chat_call *call, ResultCode code)
 {
     struct http_error error = {503, "finish_unconfirmed", RUN_STATE_UNKNOWN, 1};
@@ -174,14 +174,14 @@
 void chat_send_failure(struct chat_call *call)
 {
     struct chat_answer *answer = &call->answer;
-    if (call->lost) {
+    if (call->may_have_run) {
         struct http_error error = {502, "engine_failed", RUN_STATE_UNKNOWN, 0};
-        chat_post_abort(call, ABORT_UNKNOWN);
+        chat_record_abort(call, ABORT_UNKNOWN);
         gateway_count(call->gateway, calls_unknown);
         chat_send_late_error(call, &error, "the engine was lost while it may have run the call");
         return;
     }
-    chat_post_abort(call, ABORT_NOT_RUN);
+    chat_record_abort(call, ABORT_NOT_RUN);
     gateway_count(call->gateway, calls_refused);
     if (answer->outcome == CHAT_REJECTED) {
         struct http_error error = {answer->status, "engine_rejected", RUN_STATE_NOT_RUN, 0};
@@ -203,7 +203,7 @@
     struct http_error error = {400, "invalid_request", RUN_STATE_NOT_RUN, 0};
     struct buffer report = {0};
     for (size_t i = 0; i < findings->count; i++) {
-        buffer_printf(&report, "%s%s: %s", i == 0 ? "" : "; ", findings->items[i].place, findings->items[i].text);
+        buffer_printf(&report, "%s%s: %s", i == 0 ? "" : "; ", findings->items[i].location, findings->items[i].text);
     }
     http_send_error(connection, &error, "%s", buffer_text(&report));
     buffer_close(&report);
--- a/src/daemon/config_view.c
+++ b/src/daemon/config_view.c
@@ -7,11 +7,11 @@
 
 #include "base/message.h"
 
-static struct config_view *config_current;
+static struct config_view *config_current_view;
 
 /* ---- Decoding ------------------------------------------------------------------ */
 
-/* How one kind is laid out in a view. */
+/* Describes the array of one resource kind in struct config_view. */
 struct config_kind {
     const pb_msgdesc_t *fields;
     size_t size;
@@ -47,14 +47,14 @@
     char **array = config_kind_array(view, kind);
     size_t *count = config_kind_count(view, kind);
     *array = memory_resize(*array, (*count + 1) * kind->size);
-    char *place = *array + *count * kind->size;
-    memset(place, 0, kind->size);
-    if (message_decode(view_of(item->body, item->length), kind->fields, place)) {
+    char *element = *array + *count * kind->size;
+    memset(element, 0, kind->size);
+    if (message_decode(view_of(item->body, item->length), kind->fields, element)) {
         (*count)++;
     }
 }
 
-/* All kinds begin with their name. */
+/* Compares by name, which is the first member of every kind. */
 static int config_compare_names(const void *a, const void *b)
 {
     return strcmp(text_or_empty(*(char *const *)a), text_or_empty(*(char *const *)b));
@@ -98,18 +98,18 @@
 
 void config_view_publish(struct config_view *view)
 {
-    struct config_view *former = rcu_xchg_pointer(&config_current, view);
-    if (former != NULL) {
-        /* After the grace period nobody can still be about to pin it. */
+    struct config_view *previous = rcu_xchg_pointer(&config_current_view, view);
+    if (previous != NULL) {
+        /* After the grace period no reader can pin the previous view any more. */
         synchronize_rcu();
-        config_view_unpin(former);
+        config_view_unpin(previous);
     }
 }
 
 struct config_view *config_view_pin(void)
 {
     rcu_read_lock();
-    struct config_view *view = rcu_dereference(config_current);
+    struct config_view *view = rcu_dereference(config_current_view);
     if (view != NULL) {
         __atomic_add_fetch(&view->references, 1, __ATOMIC_RELAXED);
     }
--- a/src/daemon/config_view.h
+++ b/src/daemon/config_view.h
@@ -1,8 +1,8 @@
 /**
  * @file config_view.h
- * An immutable, decoded picture of the configuration at one revision. The
- * current one is published through RCU; a request pins one view for its whole
- * life and never sees half a change.
+ * An immutable, decoded snapshot of the configuration at one revision, published
+ * through RCU. A request pins one view until it ends, so it never sees part of a
+ * change.
  */
 #ifndef BANKBANK_DAEMON_CONFIG_VIEW_H
 #define BANKBANK_DAEMON_CONFIG_VIEW_H
@@ -13,33 +13,33 @@
 #include "core/config_store.h"
 #include "operator.pb.h"
 
-/** All resources at one revision. */
+/** Each array is sorted by name. */
 struct config_view {
-    uint64_t revision;    /**< Configuration revision. */
-    long references;      /**< Pins, the publication included. */
-    Service *services;    /**< By name, sorted. */
-    size_t service_count; /**< Services. */
-    Pool *pools;          /**< By name, sorted. */
-    size_t pool_count;    /**< Pools. */
-    Policy *policies;     /**< By name, sorted. */
-    size_t policy_count;  /**< Policies. */
-    Tenant *tenants;      /**< By name, sorted. */
-    size_t tenant_count;  /**< Tenants. */
+    uint64_t revision;
+    long references; /**< The publication holds one. */
+    Service *services;
+    size_t service_count;
+    Pool *pools;
+    size_t pool_count;
+    Policy *policies;
+    size_t policy_count;
+    Tenant *tenants;
+    size_t tenant_count;
 };
 
-/** Decodes the store into a new view with one reference. */
+/** Decodes the store; resources that do not decode are skipped. The caller owns the one reference. */
 struct config_view *config_view_make(const struct config_store *store);
 
-/** Publishes `view` (takes over its reference) and lets the former one go. */
+/** Takes over the caller's reference. Waits for an RCU grace period, then releases the previous view. */
 void config_view_publish(struct config_view *view);
 
-/** Pins the current view; NULL before the first publication. */
+/** NULL before the first publication. */
 struct config_view *config_view_pin(void);
 
-/** Gives a pin back. */
+/** NULL is allowed. */
 void config_view_unpin(struct config_view *view);
 
-/** Lookups; NULL if there is none. */
+/** NULL if nothing matches; the result is valid as long as the view is pinned. */
 const Service *config_view_service(const struct config_view *view, const char *name);
 const Pool *config_view_pool(const struct config_view *view, const char *name);
 const Pool *config_view_pool_of_model(const struct config_view *view, const char *model);
--- a/src/daemon/control.c
+++ b/src/daemon/control.c
@@ -19,18 +19,18 @@
 #include "store/replica_disk.h"
 #include "store/replica_restore.h"
 
-enum { CONTROL_TICK_MS = 10, CONTROL_HANDOVER_MS = 3000 };
+enum { CONTROL_TICK_MS = 10, CONTROL_TRANSFER_TIMEOUT_MS = 3000 };
 
 static const char CONTROL_LOG[] = "control";
 static const char STATE_LOG[] = "state";
 
-/* A request of another thread. */
+/* A request submitted by another thread. */
 struct control_task {
     uint32_t group;
     RequestKind kind;
     struct view body;
     uint64_t deadline_ms;
-    bool owned; /* posted: body and task are freed on completion */
+    bool async; /* no thread waits: body and task are freed on completion */
     bool done;
     ResultCode code;
     struct buffer *reply;
@@ -38,7 +38,7 @@
     struct control_task *next;
 };
 
-/* A frame that this node sends to itself. */
+/* A frame that this node sent to itself. */
 struct control_local_frame {
     struct buffer data;
     struct control_local_frame *next;
@@ -47,16 +47,16 @@
 struct control {
     const struct settings *settings;
     pthread_t thread;
-    pthread_mutex_t lock;       /* guards the fields up to `status` */
-    struct control_task *first; /* submitted tasks */
-    struct control_task *last;
+    pthread_mutex_t lock;            /* guards the fields up to `status` */
+    struct control_task *first_task; /* queue of submitted tasks */
+    struct control_task *last_task;
     bool stopping;
     bool draining;
     struct control_status status;
-    int wake;                /* eventfd that ends the thread's wait */
+    int wake_event;          /* eventfd that wakes the thread */
     uint64_t lease_until_ms; /* atomic */
     uint64_t epoch;          /* atomic */
-    /* The rest belongs to the control thread. */
+    /* The fields below are used by the control thread only. */
     bool has_replica;
     struct replica replica;
     struct log_store log_store;
@@ -68,7 +68,7 @@
     uint64_t now_ms;
 };
 
-/* ---- Effects ------------------------------------------------------------------- */
+/* ---- Callbacks of replica and control client ----------------------------------- */
 
 static void control_queue_local(struct control *control, struct view frame)
 {
@@ -97,7 +97,7 @@
     control_send(context, to, frame);
 }
 
-static enum replica_sync control_on_sync(void *context)
+static enum replica_sync_result control_on_sync(void *context)
 {
     struct control *control = context;
     if (control->history_store.failed) {
@@ -128,7 +128,7 @@
         log_error(STATE_LOG, "snapshot of group %u failed: %s", group, control->log_store.error);
         return false;
     }
-    const snapshot_stored_t *stored = &control->log_store.groups[group].stored;
+    const snapshot_file_t *stored = &control->log_store.groups[group].stored;
     log_info(STATE_LOG, "snapshot of group %u at entry %llu, %llu bytes", group,
              (unsigned long long)stored->snapshot.index, (unsigned long long)stored->state_length);
     return true;
@@ -138,7 +138,7 @@
 {
     struct control *control = context;
     struct control_task *task = token;
-    if (task->owned) {
+    if (task->async) {
         free((void *)(uintptr_t)task->body.data);
         free(task);
         return;
@@ -155,7 +155,7 @@
 {
     (void)context;
     config_view_publish(config_view_make(store));
-    log_debug(CONTROL_LOG, "configuration revision %llu is in force", (unsigned long long)store->revision);
+    log_debug(CONTROL_LOG, "applied configuration revision %llu", (unsigned long long)store->revision);
 }
 
 /* ---- Frames ---------------------------------------------------------------------- */
@@ -199,17 +199,17 @@
     }
 }
 
-/* ---- The thread -------------------------------------------------------------------- */
+/* ---- Thread -------------------------------------------------------------------- */
 
-static void control_take_tasks(struct control *control)
+static void control_submit_tasks(struct control *control)
 {
-    uint64_t wakes;
-    ssize_t ignored = read(control->wake, &wakes, sizeof(wakes));
+    uint64_t wake_count;
+    ssize_t ignored = read(control->wake_event, &wake_count, sizeof(wake_count));
     (void)ignored;
     pthread_mutex_lock(&control->lock);
-    struct control_task *task = control->first;
-    control->first = NULL;
-    control->last = NULL;
+    struct control_task *task = control->first_task;
+    control->first_task = NULL;
+    control->last_task = NULL;
     control->client.draining = control->draining;
     pthread_mutex_unlock(&control->lock);
     while (task != NULL) {
@@ -261,8 +261,8 @@
     pthread_mutex_unlock(&control->lock);
 }
 
-/* Handles what events produced until nothing is left to do at once. */
-static void control_settle(struct control *control)
+/* Repeats until no local frame is pending, since a flush of the replica may queue more. */
+static void control_process_pending(struct control *control)
 {
     do {
         control_handle_local(control);
@@ -273,17 +273,17 @@
     links_flush(&control->links);
 }
 
-static void control_round(struct control *control, int timeout_ms)
+static void control_run_once(struct control *control, int timeout_ms)
 {
     links_poll(&control->links, control->now_ms, timeout_ms);
     control->now_ms = clock_monotonic_ms();
-    control_take_tasks(control);
+    control_submit_tasks(control);
     if (control->has_replica) {
         control->replica.wall_offset_ms = clock_wall_ms() - control->now_ms;
         replica_tick(&control->replica, control->now_ms);
     }
     control_client_tick(&control->client, control->now_ms);
-    control_settle(control);
+    control_process_pending(control);
     control_publish_status(control);
 }
 
@@ -295,15 +295,14 @@
     return stopping;
 }
 
-/* Before a planned stop the leaderships go to other replicas. */
-static void control_hand_back(struct control *control)
+static void control_transfer_leaderships(struct control *control)
 {
-    uint64_t deadline_ms = clock_monotonic_ms() + CONTROL_HANDOVER_MS;
+    uint64_t deadline_ms = clock_monotonic_ms() + CONTROL_TRANSFER_TIMEOUT_MS;
     if (!control->has_replica) {
         return;
     }
     while (control->now_ms < deadline_ms && replica_transfer_all(&control->replica, control->now_ms)) {
-        control_round(control, CONTROL_TICK_MS);
+        control_run_once(control, CONTROL_TICK_MS);
     }
 }
 
@@ -314,9 +313,9 @@
         replica_start(&control->replica, control->now_ms);
     }
     while (!control_is_stopping(control)) {
-        control_round(control, CONTROL_TICK_MS);
+        control_run_once(control, CONTROL_TICK_MS);
     }
-    control_hand_back(control);
+    control_transfer_leaderships(control);
     return NULL;
 }
 
@@ -333,7 +332,7 @@
         .snapshot_commit = control_on_snapshot_commit,
         .send = control_replica_send,
     };
-    replica_disk_fill(&io, &control->log_store);
+    replica_disk_set_callbacks(&io, &control->log_store);
     struct replica_config config = {
         .node = (uint32_t)settings->node,
         .groups = (uint32_t)settings->groups,
@@ -390,7 +389,7 @@
             links_add_peer(&control->links, (uint32_t)replicas[i].node, &address);
         }
     }
-    links_watch(&control->links, control->wake);
+    links_watch_fd(&control->links, control->wake_event);
     return true;
 }
 
@@ -420,7 +419,8 @@
 
 static void control_free(struct control *control)
 {
-    control_take_tasks(control);
+    /* Closing the client completes all submitted tasks; those still queued are submitted first. */
+    control_submit_tasks(control);
     control_client_close(&control->client);
     links_close(&control->links);
     if (control->has_replica) {
@@ -428,8 +428,8 @@
         log_store_close(&control->log_store);
         history_store_close(&control->history_store);
     }
-    if (control->wake >= 0) {
-        close(control->wake);
+    if (control->wake_event >= 0) {
+        close(control->wake_event);
     }
     while (control->local_first != NULL) {
         struct control_local_frame *local = control->local_first;
@@ -449,7 +449,7 @@
     control->links.listener = -1;
     control->links.epoll = -1;
     pthread_mutex_init(&control->lock, NULL);
-    control->wake = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
+    control->wake_event = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
     control_open_client(control, boot_id);
     if (settings->state_role && !control_open_replica(control, boot_id)) {
         goto fail;
@@ -458,7 +458,7 @@
         goto fail;
     }
     if (pthread_create(&control->thread, NULL, control_run, control) != 0) {
-        log_error(CONTROL_LOG, "cannot start the thread");
+        log_error(CONTROL_LOG, "cannot start the control thread");
         goto fail;
     }
     return control;
@@ -467,24 +467,24 @@
     return NULL;
 }
 
-/* ---- Calls of other threads -------------------------------------------------------------- */
+/* ---- Functions called by other threads -------------------------------------------------------------- */
 
 static void control_wake(struct control *control)
 {
     uint64_t one = 1;
-    ssize_t ignored = write(control->wake, &one, sizeof(one));
+    ssize_t ignored = write(control->wake_event, &one, sizeof(one));
     (void)ignored;
 }
 
 /* Call with the lock held. */
 static void control_add_task(struct control *control, struct control_task *task)
 {
-    if (control->last == NULL) {
-        control->first = task;
+    if (control->last_task == NULL) {
+        control->first_task = task;
     } else {
-        control->last->next = task;
+        control->last_task->next = task;
     }
-    control->last = task;
+    control->last_task = task;
 }
 
 void control_stop(struct control *control)
@@ -521,14 +521,15 @@
     return task.code;
 }
 
-void control_post(struct control *control, uint32_t group, RequestKind kind, struct view body, uint32_t timeout_ms)
+void control_call_async(struct control *control, uint32_t group, RequestKind kind, struct view body,
+                        uint32_t timeout_ms)
 {
     struct control_task *task = memory_new(sizeof(*task));
     task->group = group;
     task->kind = kind;
     task->body = view_of(memory_copy(body.data, body.length), body.length);
     task->deadline_ms = clock_monotonic_ms() + timeout_ms;
-    task->owned = true;
+    task->async = true;
     pthread_mutex_lock(&control->lock);
     control_add_task(control, task);
     pthread_mutex_unlock(&control->lock);
--- a/src/daemon/endpoints.c
+++ b/src/daemon/endpoints.c
@@ -5,9 +5,9 @@
 
 #include "base/buffer.h"
 
-enum { ENDPOINT_DRAINING_MS = 10000 /* a draining answer is believed this long */ };
+enum { ENDPOINT_DRAINING_MS = 10000 /* validity of a draining report */ };
 
-static const double ENDPOINT_MEAN_SHARE = 0.1; /* weight of a new call time in the mean */
+static const double ENDPOINT_MEAN_WEIGHT = 0.1; /* weight of a new call duration in the moving average */
 
 void endpoints_init(struct endpoints *endpoints)
 {
@@ -40,7 +40,6 @@
     pthread_mutex_destroy(&endpoints->lock);
 }
 
-/* Takes "IP:PORT" out of a URL. */
 static void endpoint_set_host(struct endpoint *endpoint)
 {
     const char *start = strstr(endpoint->url, "://");
@@ -75,14 +74,14 @@
     return endpoint;
 }
 
-void endpoints_describe(struct endpoints *endpoints, const char *url, uint64_t now_ms,
-                        struct placement_candidate *candidate)
+void endpoints_fill_candidate(struct endpoints *endpoints, const char *url, uint64_t now_ms,
+                              struct placement_candidate *candidate)
 {
     pthread_mutex_lock(&endpoints->lock);
     const struct endpoint *endpoint = endpoints_get(endpoints, url);
     candidate->own_calls = endpoint->own_calls;
     candidate->reported_calls = endpoint->reported_calls;
-    candidate->own_calls_then = endpoint->own_calls_then;
+    candidate->own_calls_at_report = endpoint->own_calls_at_report;
     candidate->slots = endpoint->slots;
     candidate->mean_call_ms = endpoint->mean_call_ms;
     bool available = !endpoints_is_leaving(endpoints, endpoint) && now_ms >= endpoint->draining_until_ms &&
@@ -91,34 +90,34 @@
     pthread_mutex_unlock(&endpoints->lock);
 }
 
-void endpoints_begin(struct endpoints *endpoints, const char *url)
+void endpoints_begin_call(struct endpoints *endpoints, const char *url)
 {
     pthread_mutex_lock(&endpoints->lock);
     endpoints_get(endpoints, url)->own_calls++;
     pthread_mutex_unlock(&endpoints->lock);
 }
 
-static void endpoint_note_success(struct endpoint *endpoint, uint64_t duration_ms)
+static void endpoint_record_success(struct endpoint *endpoint, uint64_t duration_ms)
 {
-    circuit_note_success(&endpoint->circuit);
+    circuit_record_success(&endpoint->circuit);
     double change = (double)duration_ms - endpoint->mean_call_ms;
-    endpoint->mean_call_ms += endpoint->mean_call_ms == 0 ? change : change * ENDPOINT_MEAN_SHARE;
+    endpoint->mean_call_ms += endpoint->mean_call_ms == 0 ? change : change * ENDPOINT_MEAN_WEIGHT;
 }
 
-void endpoints_end(struct endpoints *endpoints, const char *url, enum endpoint_outcome outcome, uint64_t now_ms,
-                   uint64_t duration_ms, const struct endpoint_report *report)
+void endpoints_end_call(struct endpoints *endpoints, const char *url, enum endpoint_outcome outcome, uint64_t now_ms,
+                        uint64_t duration_ms, const struct endpoint_report *report)
 {
     pthread_mutex_lock(&endpoints->lock);
     struct endpoint *endpoint = endpoints_get(endpoints, url);
     if (report != NULL && report->present) {
         endpoint->reported_calls = report->running + report->waiting;
-        endpoint->own_calls_then = endpoint->own_calls;
+        endpoint->own_calls_at_report = endpoint->own_calls;
         endpoint->slots = report->slots;
     }
     endpoint->own_calls--;
     switch (outcome) {
-    case ENDPOINT_SUCCESS: endpoint_note_success(endpoint, duration_ms); break;
-    case ENDPOINT_FAILURE: circuit_note_failure(&endpoint->circuit, now_ms); break;
+    case ENDPOINT_SUCCESS: endpoint_record_success(endpoint, duration_ms); break;
+    case ENDPOINT_FAILURE: circuit_record_failure(&endpoint->circuit, now_ms); break;
     case ENDPOINT_DRAINING: endpoint->draining_until_ms = now_ms + ENDPOINT_DRAINING_MS; break;
     default: break;
     }
@@ -137,10 +136,10 @@
     pthread_mutex_unlock(&endpoints->lock);
 }
 
-void endpoints_note_request(struct endpoints *endpoints)
+void endpoints_record_request(struct endpoints *endpoints)
 {
     pthread_mutex_lock(&endpoints->lock);
-    retry_budget_note_request(&endpoints->budget);
+    retry_budget_record_request(&endpoints->budget);
     pthread_mutex_unlock(&endpoints->lock);
 }
 
@@ -152,7 +151,7 @@
     return taken;
 }
 
-uint64_t endpoints_rotate(struct endpoints *endpoints)
+uint64_t endpoints_next_rotation(struct endpoints *endpoints)
 {
     return __atomic_fetch_add(&endpoints->rotation, 1, __ATOMIC_RELAXED);
 }
--- a/src/daemon/gateway.c
+++ b/src/daemon/gateway.c
@@ -8,7 +8,7 @@
 #include "base/message.h"
 #include "daemon/config_view.h"
 
-static const char GATEWAY_ANONYMOUS[] = "anonymous";
+static const char GATEWAY_ANONYMOUS_TENANT[] = "anonymous";
 
 void gateway_init(struct gateway *gateway, const struct settings *settings, struct control *control)
 {
@@ -38,7 +38,7 @@
     return __atomic_load_n(&gateway->draining, __ATOMIC_ACQUIRE);
 }
 
-bool gateway_enter(struct gateway *gateway, struct mg_connection *connection)
+bool gateway_begin_request(struct gateway *gateway, struct mg_connection *connection)
 {
     __atomic_add_fetch(&gateway->in_flight, 1, __ATOMIC_ACQ_REL);
     if (!gateway_is_draining(gateway)) {
@@ -47,11 +47,11 @@
     struct http_error error = {503, "draining", RUN_STATE_NOT_RUN, 1};
     http_send_error(connection, &error, "this daemon is stopping, ask another one");
     mg_disable_connection_keep_alive(connection);
-    gateway_leave(gateway);
+    gateway_end_request(gateway);
     return false;
 }
 
-void gateway_leave(struct gateway *gateway)
+void gateway_end_request(struct gateway *gateway)
 {
     __atomic_sub_fetch(&gateway->in_flight, 1, __ATOMIC_ACQ_REL);
 }
@@ -71,29 +71,29 @@
     return tenant;
 }
 
-enum admission_verdict gateway_admit(struct gateway *gateway, const char *tenant, const struct admission_limits *limits,
-                                     uint64_t tokens, uint64_t *retry_after_ms)
+enum admission_result gateway_admit(struct gateway *gateway, const char *tenant, const struct admission_limits *limits,
+                                    uint64_t tokens, uint64_t *retry_after_ms)
 {
     pthread_mutex_lock(&gateway->tenants_lock);
-    enum admission_verdict verdict =
+    enum admission_result result =
         admission_start(&gateway_tenant(gateway, tenant)->usage, limits, clock_monotonic_ms(), tokens, retry_after_ms);
     pthread_mutex_unlock(&gateway->tenants_lock);
-    return verdict;
+    return result;
 }
 
-void gateway_release(struct gateway *gateway, const char *tenant, uint64_t estimated, uint64_t used)
+void gateway_release_admission(struct gateway *gateway, const char *tenant, uint64_t estimated, uint64_t used)
 {
     pthread_mutex_lock(&gateway->tenants_lock);
     admission_end(&gateway_tenant(gateway, tenant)->usage, estimated, used);
     pthread_mutex_unlock(&gateway->tenants_lock);
 }
 
-static const char *gateway_bearer(struct mg_connection *connection)
+static const char *gateway_bearer_token(struct mg_connection *connection)
 {
     static const char prefix[] = "Bearer ";
     const char *header = mg_get_header(connection, "Authorization");
-    bool bearer = header != NULL && strncmp(header, prefix, sizeof(prefix) - 1) == 0;
-    return bearer ? header + sizeof(prefix) - 1 : NULL;
+    bool is_bearer = header != NULL && strncmp(header, prefix, sizeof(prefix) - 1) == 0;
+    return is_bearer ? header + sizeof(prefix) - 1 : NULL;
 }
 
 const char *gateway_authenticate(struct gateway *gateway, struct mg_connection *connection,
@@ -102,7 +102,7 @@
 {
     memset(limits, 0, sizeof(*limits));
     *default_policy = NULL;
-    const char *key = gateway_bearer(connection);
+    const char *key = gateway_bearer_token(connection);
     const Tenant *tenant = key == NULL ? NULL : config_view_tenant_of_key(view, key);
     if (tenant != NULL) {
         limits->tokens_per_second = tenant->tokens_per_second;
@@ -111,10 +111,10 @@
         *default_policy = tenant->default_policy;
         return tenant->name;
     }
-    /* Without tenants any key is taken, so that ordinary clients work on a small site. */
-    bool open = gateway->settings->allow_anonymous && (key == NULL || view->tenant_count == 0);
-    if (open) {
-        return GATEWAY_ANONYMOUS;
+    /* Without configured tenants any key is accepted, since many clients always send one. */
+    bool anonymous = gateway->settings->allow_anonymous && (key == NULL || view->tenant_count == 0);
+    if (anonymous) {
+        return GATEWAY_ANONYMOUS_TENANT;
     }
     struct http_error error = {401, "invalid_api_key", RUN_STATE_NOT_RUN, 0};
     http_send_error(connection, &error, "the key names no tenant");
@@ -130,7 +130,7 @@
     struct buffer reply = {0};
     message_encode(&body, Entry_fields, entry);
     ResultCode code =
-        control_call(gateway->control, group, REQUEST_PROPOSE, buffer_view(&body), GATEWAY_CONTROL_MS, &reply);
+        control_call(gateway->control, group, REQUEST_PROPOSE, buffer_view(&body), GATEWAY_CONTROL_TIMEOUT_MS, &reply);
     if (code == RESULT_OK && !message_decode(buffer_view(&reply), EntryResult_fields, result)) {
         code = RESULT_TIMEOUT;
     }
@@ -151,12 +151,12 @@
     return gateway_propose_to(gateway, STATE_CONFIG_GROUP, entry, result);
 }
 
-void gateway_post(struct gateway *gateway, const char *program, const Entry *entry)
+void gateway_propose_async(struct gateway *gateway, const char *program, const Entry *entry)
 {
     struct buffer body = {0};
     message_encode(&body, Entry_fields, entry);
     uint32_t group = state_machine_group_of(program, (uint32_t)gateway->settings->groups);
-    control_post(gateway->control, group, REQUEST_PROPOSE, buffer_view(&body), GATEWAY_POST_MS);
+    control_call_async(gateway->control, group, REQUEST_PROPOSE, buffer_view(&body), GATEWAY_ASYNC_TIMEOUT_MS);
     buffer_close(&body);
 }
 
@@ -169,7 +169,7 @@
     message_encode(&body, ProgramQuery_fields, &query);
     uint32_t group = state_machine_group_of(program, (uint32_t)gateway->settings->groups);
     ResultCode code =
-        control_call(gateway->control, group, REQUEST_PROGRAM, buffer_view(&body), GATEWAY_CONTROL_MS, &reply);
+        control_call(gateway->control, group, REQUEST_PROGRAM, buffer_view(&body), GATEWAY_CONTROL_TIMEOUT_MS, &reply);
     if (code == RESULT_OK && !message_decode(buffer_view(&reply), ProgramView_fields, view)) {
         code = RESULT_UNAVAILABLE;
     }
@@ -183,8 +183,8 @@
     static const char alphabet[] = "0123456789abcdef";
     unsigned char bytes[GATEWAY_ID_LENGTH];
     size_t count = digits < sizeof(bytes) ? digits : sizeof(bytes);
-    ssize_t got = getrandom(bytes, count, 0);
-    (void)got;
+    ssize_t ignored = getrandom(bytes, count, 0);
+    (void)ignored;
     for (size_t i = 0; i < count; i++) {
         text[i] = alphabet[bytes[i] & 15];
     }
@@ -218,7 +218,7 @@
     if ((size_t)result->code < count && errors[result->code].status != 0) {
         error = errors[result->code];
     }
-    /* The very call that was asked for may be running under another attempt. */
+    /* Another attempt of the requested call itself may be running. */
     if (result->code == RESULT_IN_PROGRESS && result->call != 0) {
         error.run_state = RUN_STATE_UNKNOWN;
     }
--- a/src/daemon/server.c
+++ b/src/daemon/http_servers.c
@@ -1,4 +1,4 @@
-#include "daemon/server.h"
+#include "daemon/http_servers.h"
 
 #include <inttypes.h>
 #include <stdio.h>
@@ -13,11 +13,11 @@
 #include "daemon/services.h"
 #include "net/http_framing.h"
 
-enum { SERVER_NUMBER_MAX = 24 };
+enum { HTTP_SERVERS_NUMBER_SIZE = 24 };
 
-static const char SERVER_LOG[] = "server";
+static const char HTTP_SERVERS_LOG[] = "server";
 
-static int server_handle_unknown(struct mg_connection *connection, void *context)
+static int http_servers_handle_not_found(struct mg_connection *connection, void *context)
 {
     struct http_error error = {404, "not_found", RUN_STATE_NOT_RUN, 0};
     (void)context;
@@ -25,15 +25,15 @@
     return error.status;
 }
 
-static struct mg_context *server_start_one(const char *address, uint64_t threads, struct gateway *gateway)
+static struct mg_context *http_servers_listen(const char *address, uint64_t threads, struct gateway *gateway)
 {
-    char thread_text[SERVER_NUMBER_MAX];
-    snprintf(thread_text, sizeof(thread_text), "%" PRIu64, threads);
+    char thread_count[HTTP_SERVERS_NUMBER_SIZE];
+    snprintf(thread_count, sizeof(thread_count), "%" PRIu64, threads);
     const char *options[] = {
         "listening_ports",
         address,
         "num_threads",
-        thread_text,
+        thread_count,
         "enable_keep_alive",
         "yes",
         "keep_alive_timeout_ms",
@@ -64,59 +64,59 @@
     error.code = &code;
     struct mg_context *context = mg_start2(&init, &error);
     if (context == NULL) {
-        log_error(SERVER_LOG, "cannot listen on %s: %s", address, text);
+        log_error(HTTP_SERVERS_LOG, "cannot listen on %s: %s", address, text);
         return NULL;
     }
-    mg_set_request_handler(context, "/", server_handle_unknown, gateway);
+    mg_set_request_handler(context, "/", http_servers_handle_not_found, gateway);
     mg_set_request_handler(context, "/healthz", healthz_handle, gateway);
     mg_set_request_handler(context, "/readyz", readyz_handle, gateway);
     mg_set_request_handler(context, "/metrics", metrics_handle, gateway);
     return context;
 }
 
-bool server_start(struct server *server, struct gateway *gateway)
+bool http_servers_start(struct http_servers *servers, struct gateway *gateway)
 {
     const struct settings *settings = gateway->settings;
-    memset(server, 0, sizeof(*server));
-    server->operators = server_start_one(settings->operator_address, settings->operator_threads, gateway);
-    if (server->operators == NULL) {
+    memset(servers, 0, sizeof(*servers));
+    servers->operators = http_servers_listen(settings->operator_address, settings->operator_threads, gateway);
+    if (servers->operators == NULL) {
         return false;
     }
-    mg_set_request_handler(server->operators, "/bankbank.v1.OperatorService", operator_handle, gateway);
+    mg_set_request_handler(servers->operators, "/bankbank.v1.OperatorService", operator_handle, gateway);
     if (!settings->gateway_role) {
         return true;
     }
-    server->callers = server_start_one(settings->caller_address, settings->threads, gateway);
-    if (server->callers == NULL) {
-        server_stop(server);
+    servers->callers = http_servers_listen(settings->caller_address, settings->threads, gateway);
+    if (servers->callers == NULL) {
+        http_servers_stop(servers);
         return false;
     }
-    mg_set_request_handler(server->callers, "/v1/chat/completions", chat_handle, gateway);
-    mg_set_request_handler(server->callers, "/v1/programs", programs_handle, gateway);
-    mg_set_request_handler(server->callers, "/v1/models", models_handle, gateway);
-    mg_set_request_handler(server->callers, "/services", services_handle, gateway);
+    mg_set_request_handler(servers->callers, "/v1/chat/completions", chat_handle, gateway);
+    mg_set_request_handler(servers->callers, "/v1/programs", programs_handle, gateway);
+    mg_set_request_handler(servers->callers, "/v1/models", models_handle, gateway);
+    mg_set_request_handler(servers->callers, "/services", services_handle, gateway);
     return true;
 }
 
-static void *server_stop_operators(void *context)
+static void *http_servers_stop_operators(void *context)
 {
     mg_stop(context);
     return NULL;
 }
 
-/* CivetWeb looks for the stop each two seconds; both servers are stopped at once. */
-void server_stop(struct server *server)
+/* mg_stop() may wait up to two seconds for CivetWeb to poll its stop flag, so both servers are stopped in parallel. */
+void http_servers_stop(struct http_servers *servers)
 {
     pthread_t thread;
-    bool beside =
-        server->operators != NULL && pthread_create(&thread, NULL, server_stop_operators, server->operators) == 0;
-    if (server->callers != NULL) {
-        mg_stop(server->callers);
+    bool in_background = servers->operators != NULL &&
+                         pthread_create(&thread, NULL, http_servers_stop_operators, servers->operators) == 0;
+    if (servers->callers != NULL) {
+        mg_stop(servers->callers);
     }
-    if (beside) {
+    if (in_background) {
         pthread_join(thread, NULL);
-    } else if (server->operators != NULL) {
-        mg_stop(server->operators);
+    } else if (servers->operators != NULL) {
+        mg_stop(servers->operators);
     }
-    memset(server, 0, sizeof(*server));
+    memset(servers, 0, sizeof(*servers));
 }
--- a/src/daemon/machine_list.c
+++ b/src/daemon/machine_list.c
@@ -55,8 +55,8 @@
     enum http_transfer_result result = http_client_run(&request, &status);
     json_t *list = result == HTTP_TRANSFER_DONE && status == 200 ? json_input_parse(buffer_view(&body), NULL) : NULL;
     if (list == NULL) {
-        /* The last known list stays in force. */
-        log_debug("machines", "the machine list cannot be read");
+        log_debug("machines", "cannot read the machine list (HTTP status %d, 0: no response); keeping the last one",
+                  status);
     } else {
         machine_list_apply(gateway, json_object_get(list, "machines"));
     }
