--- a/src/daemon/machine_list.h
+++ b/src/daemon/machine_list.h
@@ -1,7 +1,7 @@
 /**
  * @file machine_list.h
- * Reads the platform's list of machines, which lags, and keeps new work away
- * from machines that it calls leaving:
+ * Polls the platform's machine list, so that placement avoids machines in the
+ * state "leaving". The list may be out of date. Format:
  * {"machines": [{"address": "IP:PORT", "state": "live" | "leaving"}]}
  */
 #ifndef BANKBANK_DAEMON_MACHINE_LIST_H
@@ -11,7 +11,7 @@
 
 enum { MACHINE_LIST_PERIOD_MS = 500 };
 
-/** Reads the list once; `context` is the gateway. */
+/** Worker job; `context` is the struct gateway. If the list cannot be read, the last one stays in use. */
 void machine_list_run(void *context);
 
 #endif
--- a/src/daemon/main.c
+++ b/src/daemon/main.c
@@ -1,6 +1,5 @@
 /*
- * bankbankd: the daemon. Reads flags and settings, starts the control thread
- * and the servers, waits for a signal and drains.
+ * bankbankd, the daemon: serves until SIGTERM or SIGINT, then drains and stops.
  */
 #include <signal.h>
 #include <stdio.h>
@@ -12,20 +11,20 @@
 
 #include "base/clock.h"
 #include "base/log.h"
+#include "daemon/cache_releaser.h"
 #include "daemon/control.h"
 #include "daemon/gateway.h"
+#include "daemon/http_servers.h"
 #include "daemon/machine_list.h"
-#include "daemon/releaser.h"
-#include "daemon/server.h"
 #include "daemon/settings.h"
 #include "daemon/worker.h"
 #include "net/http_client.h"
 
-enum { MAIN_EXIT_USAGE = 2, MAIN_DRAIN_STEP_US = 10000, MAIN_DRAIN_NOTICE_MS = 300 };
+enum { MAIN_EXIT_USAGE = 2, MAIN_DRAIN_POLL_US = 10000, MAIN_MIN_DRAIN_MS = 300 };
 
 static const char MAIN_LOG[] = "daemon";
 
-/* Flags; each overrides the key of the same name in the settings file. */
+/* Flags; a setting given here overrides the key of the same name in the settings file. */
 struct main_flags {
     struct arg_file *config;
     struct arg_lit *check;
@@ -63,7 +62,7 @@
     main_override(&settings->log_level, flags->log_level);
 }
 
-/* Loads and checks everything; false: the faults were printed. */
+/* False: the errors were printed. */
 static bool main_load_settings(struct settings *settings, const struct main_flags *flags)
 {
     struct findings findings = {0};
@@ -93,24 +92,26 @@
 {
     int signal_number = 0;
     sigwait(signals, &signal_number);
-    log_info(MAIN_LOG, "signal %d, draining", signal_number);
+    log_info(MAIN_LOG, "received signal %d, draining", signal_number);
 }
 
-/* Refuses new work and waits until what is in flight has ended. */
+/* Refuses new requests and waits for those in flight, at most the drain timeout. Within that, waits at least
+ * MAIN_MIN_DRAIN_MS, so that pollers of /readyz see that the daemon is not ready before it stops. */
 static void main_drain(struct gateway *gateway)
 {
     __atomic_store_n(&gateway->draining, true, __ATOMIC_RELEASE);
     control_set_draining(gateway->control);
     uint64_t deadline_ms = clock_monotonic_ms() + gateway->settings->drain_timeout_ms;
-    uint64_t notice_ms = clock_monotonic_ms() + MAIN_DRAIN_NOTICE_MS;
+    uint64_t min_end_ms = clock_monotonic_ms() + MAIN_MIN_DRAIN_MS;
     uint64_t now_ms = clock_monotonic_ms();
-    while (now_ms < deadline_ms && (now_ms < notice_ms || __atomic_load_n(&gateway->in_flight, __ATOMIC_ACQUIRE) > 0)) {
-        clock_sleep_us(MAIN_DRAIN_STEP_US);
+    while (now_ms < deadline_ms &&
+           (now_ms < min_end_ms || __atomic_load_n(&gateway->in_flight, __ATOMIC_ACQUIRE) > 0)) {
+        clock_sleep_us(MAIN_DRAIN_POLL_US);
         now_ms = clock_monotonic_ms();
     }
-    long left = __atomic_load_n(&gateway->in_flight, __ATOMIC_ACQUIRE);
-    if (left > 0) {
-        log_warn(MAIN_LOG, "%ld requests are cut after the drain time", left);
+    long remaining = __atomic_load_n(&gateway->in_flight, __ATOMIC_ACQUIRE);
+    if (remaining > 0) {
+        log_warn(MAIN_LOG, "drain timeout: aborting %ld requests in flight", remaining);
     }
 }
 
@@ -118,8 +119,8 @@
 {
     int status = EXIT_FAILURE;
     struct gateway gateway;
-    struct server server;
-    struct worker releaser = {0};
+    struct http_servers servers;
+    struct worker cache_releaser = {0};
     struct worker machine_list = {0};
     sigset_t signals;
     sigemptyset(&signals);
@@ -132,25 +133,25 @@
         return EXIT_FAILURE;
     }
     gateway_init(&gateway, settings, control);
-    if (!server_start(&server, &gateway)) {
+    if (!http_servers_start(&servers, &gateway)) {
         goto out_control;
     }
-    if (!worker_start(&releaser, RELEASER_PERIOD_MS, releaser_run, &gateway)) {
+    if (!worker_start(&cache_releaser, CACHE_RELEASER_PERIOD_MS, cache_releaser_run, &gateway)) {
         goto out_server;
     }
     if (settings->machine_list_url[0] != '\0') {
         worker_start(&machine_list, MACHINE_LIST_PERIOD_MS, machine_list_run, &gateway);
     }
-    log_info(MAIN_LOG, "node %llu serves callers on %s and operators on %s", (unsigned long long)settings->node,
-             settings->gateway_role ? settings->caller_address : "no address", settings->operator_address);
+    log_info(MAIN_LOG, "node %llu: caller address %s, operator address %s", (unsigned long long)settings->node,
+             settings->gateway_role ? settings->caller_address : "none", settings->operator_address);
     main_wait_for_stop(&signals);
     main_drain(&gateway);
-    log_info(MAIN_LOG, "stopped");
+    log_info(MAIN_LOG, "stopping");
     status = EXIT_SUCCESS;
     worker_stop(&machine_list);
-    worker_stop(&releaser);
+    worker_stop(&cache_releaser);
 out_server:
-    server_stop(&server);
+    http_servers_stop(&servers);
 out_control:
     control_stop(control);
     gateway_close(&gateway);
@@ -187,14 +188,14 @@
 {
     struct main_flags flags = {
         .config = arg_file0("c", "config", "FILE", "settings file (YAML)"),
-        .check = arg_lit0(NULL, "check", "check the settings, report every fault and exit"),
+        .check = arg_lit0(NULL, "check", "check the settings, report all errors and exit"),
         .node = arg_int0(NULL, "node", "ID", "node id, unique in the fleet"),
-        .zone = arg_str0(NULL, "zone", "NAME", "zone of this machine"),
+        .zone = arg_str0(NULL, "zone", "NAME", "zone of the machine"),
         .data = arg_str0(NULL, "data", "FOLDER", "data folder"),
-        .caller_address = arg_str0(NULL, "caller-address", "IP:PORT", "address for callers"),
-        .operator_address = arg_str0(NULL, "operator-address", "IP:PORT", "address for operators"),
-        .peer_address = arg_str0(NULL, "peer-address", "IP:PORT", "address for other daemons"),
-        .machine_list_url = arg_str0(NULL, "machine-list-url", "URL", "the platform's machine list"),
+        .caller_address = arg_str0(NULL, "caller-address", "IP:PORT", "listen address for callers"),
+        .operator_address = arg_str0(NULL, "operator-address", "IP:PORT", "listen address for operators"),
+        .peer_address = arg_str0(NULL, "peer-address", "IP:PORT", "listen address for other daemons"),
+        .machine_list_url = arg_str0(NULL, "machine-list-url", "URL", "URL of the platform's machine list"),
         .log_level = arg_str0(NULL, "log-level", "LEVEL", "error, warn, info or debug"),
         .help = arg_lit0("h", "help", "show this text"),
         .end = arg_end(8),
@@ -212,12 +213,12 @@
                      flags.help,
                      flags.end};
     int status = EXIT_SUCCESS;
-    int faults = arg_parse(argc, argv, table);
+    int errors = arg_parse(argc, argv, table);
     if (flags.help->count > 0) {
         printf("Usage: bankbankd");
         arg_print_syntax(stdout, table, "\n");
         arg_print_glossary(stdout, table, "  %-28s %s\n");
-    } else if (faults > 0) {
+    } else if (errors > 0) {
         arg_print_errors(stderr, flags.end, "bankbankd");
         status = MAIN_EXIT_USAGE;
     } else {
--- a/src/daemon/metrics.c
+++ b/src/daemon/metrics.c
@@ -7,55 +7,59 @@
 
 enum { METRICS_HANDLED = 200 };
 
-static void metrics_counter(struct buffer *out, const char *name, const char *help, uint64_t value)
+static void metrics_write_counter(struct buffer *out, const char *name, const char *help, uint64_t value)
 {
     buffer_printf(out, "# HELP bankbank_%s %s\n# TYPE bankbank_%s counter\nbankbank_%s %llu\n", name, help, name, name,
                   (unsigned long long)value);
 }
 
-static void metrics_gauge(struct buffer *out, const char *name, const char *help, double value)
+static void metrics_write_gauge(struct buffer *out, const char *name, const char *help, double value)
 {
     buffer_printf(out, "# HELP bankbank_%s %s\n# TYPE bankbank_%s gauge\nbankbank_%s %.17g\n", name, help, name, name,
                   value);
 }
 
-static void metrics_gateway(const struct gateway *gateway, struct buffer *out)
+static void metrics_write_gateway(const struct gateway *gateway, struct buffer *out)
 {
     const struct gateway_counters *counters = &gateway->counters;
-    metrics_counter(out, "calls_started_total", "Chat calls begun.", counters->calls_started);
-    metrics_counter(out, "calls_finished_total", "Chat calls answered whole.", counters->calls_finished);
-    metrics_counter(out, "calls_replayed_total", "Answers given from the ledger.", counters->calls_replayed);
-    metrics_counter(out, "calls_refused_total", "Calls refused before they ran.", counters->calls_refused);
-    metrics_counter(out, "calls_unknown_total", "Calls with an unknown outcome.", counters->calls_unknown);
-    metrics_counter(out, "attempts_retried_total", "Attempts repeated on another engine.", counters->attempts_retried);
-    metrics_counter(out, "answers_crossed_total", "Answers of other attempts, dropped.", counters->answers_crossed);
-    metrics_counter(out, "prompt_tokens_total", "Prompt tokens.", counters->prompt_tokens);
-    metrics_counter(out, "cached_tokens_total", "Prompt tokens served from engine caches.", counters->cached_tokens);
-    metrics_counter(out, "completion_tokens_total", "Tokens generated.", counters->completion_tokens);
-    metrics_counter(out, "service_requests_total", "Plain service requests.", counters->service_requests);
-    metrics_counter(out, "service_failures_total", "Plain service requests that failed.", counters->service_failures);
-    metrics_counter(out, "memory_releases_total", "Engine memory releases confirmed.", counters->releases);
-    metrics_gauge(out, "requests_in_flight", "Requests being served.", (double)gateway->in_flight);
+    metrics_write_counter(out, "calls_started_total", "Chat calls begun.", counters->calls_started);
+    metrics_write_counter(out, "calls_finished_total", "Chat calls answered whole.", counters->calls_finished);
+    metrics_write_counter(out, "calls_replayed_total", "Answers given from the ledger.", counters->calls_replayed);
+    metrics_write_counter(out, "calls_refused_total", "Calls refused before they ran.", counters->calls_refused);
+    metrics_write_counter(out, "calls_unknown_total", "Calls with an unknown outcome.", counters->calls_unknown);
+    metrics_write_counter(out, "attempts_retried_total", "Attempts repeated on another engine.",
+                          counters->attempts_retried);
+    metrics_write_counter(out, "answers_crossed_total", "Answers of other attempts, dropped.",
+                          counters->answers_mismatched);
+    metrics_write_counter(out, "prompt_tokens_total", "Prompt tokens.", counters->prompt_tokens);
+    metrics_write_counter(out, "cached_tokens_total", "Prompt tokens served from engine caches.",
+                          counters->cached_tokens);
+    metrics_write_counter(out, "completion_tokens_total", "Tokens generated.", counters->completion_tokens);
+    metrics_write_counter(out, "service_requests_total", "Plain service requests.", counters->service_requests);
+    metrics_write_counter(out, "service_failures_total", "Plain service requests that failed.",
+                          counters->service_failures);
+    metrics_write_counter(out, "memory_releases_total", "Engine memory releases confirmed.", counters->memory_releases);
+    metrics_write_gauge(out, "requests_in_flight", "Requests being served.", (double)gateway->in_flight);
 }
 
-static void metrics_control(const struct control_status *status, struct buffer *out)
+static void metrics_write_control(const struct control_status *status, struct buffer *out)
 {
-    metrics_gauge(out, "ready", "1 while program calls are taken.", status->ready ? 1 : 0);
-    metrics_gauge(out, "config_revision", "Configuration revision in force here.", (double)status->revision);
-    metrics_gauge(out, "lease_epoch", "Epoch of this daemon's lease.", (double)status->epoch);
-    metrics_gauge(out, "programs", "Programs held by the local replica.", (double)status->programs);
-    metrics_counter(out, "control_messages_total", "Frames sent by the control client.", status->client_messages);
-    metrics_counter(out, "control_bytes_total", "Bytes sent by the control client.", status->client_bytes);
-    metrics_counter(out, "link_received_bytes_total", "Bytes received from peers.", status->link_bytes_in);
-    metrics_counter(out, "link_sent_bytes_total", "Bytes sent to peers.", status->link_bytes_out);
-    metrics_counter(out, "link_received_frames_total", "Frames received from peers.", status->link_frames_in);
-    metrics_counter(out, "link_sent_frames_total", "Frames sent to peers.", status->link_frames_out);
-    metrics_counter(out, "log_syncs_total", "Syncs of the log.", status->counters.syncs);
-    metrics_counter(out, "log_entries_total", "Entries written to the log.", status->counters.synced_entries);
-    metrics_counter(out, "log_bytes_total", "Payload bytes written to the log.", status->counters.synced_bytes);
-    metrics_counter(out, "entries_applied_total", "Entries applied.", status->counters.applied);
-    metrics_counter(out, "snapshots_total", "Snapshots taken.", status->counters.snapshots);
-    metrics_counter(out, "role_changes_total", "Role, term or leader changes.", status->counters.role_changes);
+    metrics_write_gauge(out, "ready", "1 while program calls are taken.", status->ready ? 1 : 0);
+    metrics_write_gauge(out, "config_revision", "Configuration revision in force here.", (double)status->revision);
+    metrics_write_gauge(out, "lease_epoch", "Epoch of this daemon's lease.", (double)status->epoch);
+    metrics_write_gauge(out, "programs", "Programs held by the local replica.", (double)status->programs);
+    metrics_write_counter(out, "control_messages_total", "Frames sent by the control client.", status->client_messages);
+    metrics_write_counter(out, "control_bytes_total", "Bytes sent by the control client.", status->client_bytes);
+    metrics_write_counter(out, "link_received_bytes_total", "Bytes received from peers.", status->link_bytes_in);
+    metrics_write_counter(out, "link_sent_bytes_total", "Bytes sent to peers.", status->link_bytes_out);
+    metrics_write_counter(out, "link_received_frames_total", "Frames received from peers.", status->link_frames_in);
+    metrics_write_counter(out, "link_sent_frames_total", "Frames sent to peers.", status->link_frames_out);
+    metrics_write_counter(out, "log_syncs_total", "Syncs of the log.", status->counters.syncs);
+    metrics_write_counter(out, "log_entries_total", "Entries written to the log.", status->counters.synced_entries);
+    metrics_write_counter(out, "log_bytes_total", "Payload bytes written to the log.", status->counters.synced_bytes);
+    metrics_write_counter(out, "entries_applied_total", "Entries applied.", status->counters.applied);
+    metrics_write_counter(out, "snapshots_total", "Snapshots taken.", status->counters.snapshots);
+    metrics_write_counter(out, "role_changes_total", "Role, term or leader changes.", status->counters.role_changes);
     for (uint32_t group = 0; group < status->group_count; group++) {
         buffer_printf(out, "bankbank_group_is_leader{group=\"%u\"} %d\n", group, status->groups[group].is_leader);
     }
@@ -88,10 +92,10 @@
     struct control_status status;
     struct buffer out = {0};
     control_read_status(gateway->control, &status);
-    metrics_gateway(gateway, &out);
-    metrics_control(&status, &out);
-    metrics_gauge(&out, "process_cpu_seconds_total", "Processor time used.", metrics_cpu_seconds());
-    metrics_gauge(&out, "process_resident_memory_bytes", "Resident memory.", metrics_resident_bytes());
+    metrics_write_gateway(gateway, &out);
+    metrics_write_control(&status, &out);
+    metrics_write_gauge(&out, "process_cpu_seconds_total", "Processor time used.", metrics_cpu_seconds());
+    metrics_write_gauge(&out, "process_resident_memory_bytes", "Resident memory.", metrics_resident_bytes());
     http_send(connection, 200, "text/plain; version=0.0.4", NULL, buffer_view(&out));
     buffer_close(&out);
     return METRICS_HANDLED;
--- a/src/daemon/metrics.h
+++ b/src/daemon/metrics.h
@@ -7,7 +7,7 @@
 
 #include "daemon/gateway.h"
 
-/** CivetWeb handlers; `context` is the gateway. */
+/** CivetWeb request handlers; `context` is the struct gateway. */
 int metrics_handle(struct mg_connection *connection, void *context);
 int healthz_handle(struct mg_connection *connection, void *context);
 int readyz_handle(struct mg_connection *connection, void *context);
--- a/src/daemon/operator.c
+++ b/src/daemon/operator.c
@@ -1,11 +1,11 @@
-/* The operators' RPC: from a method's name to its handler. */
+/* Operator RPC: method dispatch. */
 #include "daemon/operator.h"
 
 #include <string.h>
 
 #include "daemon/operator_internal.h"
 
-enum { OPERATOR_HANDLED = 200, OPERATOR_MAX_BODY = 8 << 20 };
+enum { OPERATOR_HANDLED = 200, OPERATOR_MAX_BODY_BYTES = 8 << 20 };
 
 static const char OPERATOR_PATH[] = "/bankbank.v1.OperatorService/";
 
@@ -38,7 +38,6 @@
     operator_handover(call, HANDOVER_STEP_ABORT);
 }
 
-/* Every method with its handler. */
 static const struct {
     const char *name;
     void (*run)(struct operator_call *call);
@@ -70,7 +69,7 @@
     {"AbortHandover", operator_run_abort, 0},
     {"GetStatus", operator_status, 0},
     {"ChangeReplica", operator_change_replica, 0},
-    {"WaitRevision", operator_wait, 0},
+    {"WaitRevision", operator_wait_revision, 0},
 };
 
 static void operator_dispatch(struct operator_call *call, const char *method)
@@ -97,7 +96,7 @@
         return OPERATOR_HANDLED;
     }
     enum http_body_result result =
-        info->content_length == 0 ? HTTP_BODY_OK : http_read_body(connection, OPERATOR_MAX_BODY, &body);
+        info->content_length == 0 ? HTTP_BODY_OK : http_read_body(connection, OPERATOR_MAX_BODY_BYTES, &body);
     if (type == NULL || strcmp(type, "application/proto") != 0) {
         struct http_error error = {415, "unsupported_media_type", RUN_STATE_NOT_RUN, 0};
         http_send_error(connection, &error, "Content-Type must be application/proto");
--- a/src/daemon/operator.h
+++ b/src/daemon/operator.h
@@ -1,6 +1,6 @@
 /**
  * @file operator.h
- * The operators' RPC: unary calls of the Connect protocol over the schema in
+ * The operator RPC: unary calls of the Connect protocol; schema:
  * proto/bankbank/v1/operator.proto.
  */
 #ifndef BANKBANK_DAEMON_OPERATOR_H
@@ -8,7 +8,7 @@
 
 #include "daemon/gateway.h"
 
-/** CivetWeb handler of /bankbank.v1.OperatorService/. */
+/** CivetWeb request handler of /bankbank.v1.OperatorService/; `context` is the struct gateway. */
 int operator_handle(struct mg_connection *connection, void *context);
 
 #endif
--- a/src/daemon/operator_check.c
+++ b/src/daemon/operator_check.c
@@ -7,19 +7,19 @@
 #include "core/config_store.h"
 #include "operator.pb.h"
 
-enum { CHECK_PLACE_MAX = 64 };
+enum { CHECK_PATH_SIZE = 64 };
 
-static void check_name(const char *place, const char *name, struct findings *findings)
+static void check_name(const char *path, const char *name, struct findings *findings)
 {
     const char *text = text_or_empty(name);
     size_t length = strlen(text);
-    size_t plain = strspn(text, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.");
-    if (length == 0 || length > CONFIG_NAME_MAX || plain != length) {
-        findings_add(findings, place, "must have 1 to %d letters, digits, '-', '_' or '.'", CONFIG_NAME_MAX);
+    size_t allowed = strspn(text, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.");
+    if (length == 0 || length > CONFIG_NAME_MAX || allowed != length) {
+        findings_add(findings, path, "must have 1 to %d letters, digits, '-', '_' or '.'", CONFIG_NAME_MAX);
     }
 }
 
-static void check_url(const char *place, const char *url, struct findings *findings)
+static void check_url(const char *path, const char *url, struct findings *findings)
 {
     static const char prefix[] = "http://";
     const char *text = text_or_empty(url);
@@ -27,7 +27,7 @@
     bool valid = strncmp(text, prefix, sizeof(prefix) - 1) == 0 && length > sizeof(prefix) - 1 &&
                  text[length - 1] != '/' && strpbrk(text, " \r\n\t") == NULL;
     if (!valid) {
-        findings_add(findings, place, "must be http://IP:PORT[/prefix] without a slash at the end");
+        findings_add(findings, path, "must be http://IP:PORT[/prefix] without a slash at the end");
     }
 }
 
@@ -40,11 +40,11 @@
     }
     check_name("service.name", service.name, findings);
     for (pb_size_t i = 0; i < service.backends_count; i++) {
-        char place[CHECK_PLACE_MAX];
-        snprintf(place, sizeof(place), "service.backends[%u].name", i);
-        check_name(place, service.backends[i].name, findings);
-        snprintf(place, sizeof(place), "service.backends[%u].base_url", i);
-        check_url(place, service.backends[i].base_url, findings);
+        char path[CHECK_PATH_SIZE];
+        snprintf(path, sizeof(path), "service.backends[%u].name", i);
+        check_name(path, service.backends[i].name, findings);
+        snprintf(path, sizeof(path), "service.backends[%u].base_url", i);
+        check_url(path, service.backends[i].base_url, findings);
     }
     char *name = text_copy(service.name);
     message_free(Service_fields, &service);
@@ -54,16 +54,16 @@
 static void check_engine(const Pool *pool, pb_size_t position, struct findings *findings)
 {
     const Engine *engine = &pool->engines[position];
-    char place[CHECK_PLACE_MAX];
-    snprintf(place, sizeof(place), "pool.engines[%u].name", position);
-    check_name(place, engine->name, findings);
+    char path[CHECK_PATH_SIZE];
+    snprintf(path, sizeof(path), "pool.engines[%u].name", position);
+    check_name(path, engine->name, findings);
     for (pb_size_t i = 0; i < position; i++) {
         if (text_equal(pool->engines[i].name, engine->name)) {
-            findings_add(findings, place, "stands twice");
+            findings_add(findings, path, "stands twice");
         }
     }
-    snprintf(place, sizeof(place), "pool.engines[%u].base_url", position);
-    check_url(place, engine->base_url, findings);
+    snprintf(path, sizeof(path), "pool.engines[%u].base_url", position);
+    check_url(path, engine->base_url, findings);
 }
 
 static char *check_pool(struct view body, struct findings *findings)
--- a/src/daemon/operator_check.h
+++ b/src/daemon/operator_check.h
@@ -1,6 +1,6 @@
 /**
  * @file operator_check.h
- * Checks the content of operators' resources; every fault is collected.
+ * Validation of the resources that operators create and update.
  */
 #ifndef BANKBANK_DAEMON_OPERATOR_CHECK_H
 #define BANKBANK_DAEMON_OPERATOR_CHECK_H
@@ -8,7 +8,7 @@
 #include "base/findings.h"
 #include "control.pb.h"
 
-/** Checks an encoded resource; returns its name (the caller frees it) or NULL. */
+/** Adds all errors to `findings`. Returns the resource's name, to be freed, or NULL if `body` does not decode. */
 char *operator_check_resource(ResourceKind kind, struct view body, struct findings *findings);
 
 #endif
--- a/src/daemon/operator_handover.c
+++ b/src/daemon/operator_handover.c
@@ -1,4 +1,4 @@
-/* Programs that come from another site: prepare, import, commit, abort. */
+/* Operator RPC: handover of programs from another site: prepare, import, commit, abort. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -8,7 +8,7 @@
 #include "daemon/operator_internal.h"
 #include "net/json_input.h"
 
-/* Stored form of the history: JSON messages without the outer brackets. */
+/* The stored form omits the outer brackets of the JSON array. */
 static char *operator_strip_history(const char *history_json, struct findings *findings)
 {
     json_t *messages =
@@ -39,10 +39,10 @@
     }
 }
 
-static void operator_send_handover(struct operator_call *call, const Handover *asked)
+static void operator_send_handover(struct operator_call *call, const Handover *requested)
 {
     ProgramView view;
-    ResultCode code = gateway_read_program(call->gateway, asked->program_id, 0, &view);
+    ResultCode code = gateway_read_program(call->gateway, requested->program_id, 0, &view);
     if (code != RESULT_OK) {
         EntryResult result = {.code = code};
         operator_send_result_error(call, &result);
--- a/src/daemon/operator_internal.h
+++ b/src/daemon/operator_internal.h
@@ -1,7 +1,6 @@
 /**
  * @file operator_internal.h
- * What the parts of the operators' RPC share: the call, its answers, and the
- * handlers that operator.c dispatches to.
+ * Shared by the modules of the operator RPC.
  */
 #ifndef BANKBANK_DAEMON_OPERATOR_INTERNAL_H
 #define BANKBANK_DAEMON_OPERATOR_INTERNAL_H
@@ -9,23 +8,21 @@
 #include "base/findings.h"
 #include "daemon/operator.h"
 
-/** One call. */
 struct operator_call {
-    struct gateway *gateway;          /**< The daemon's gateway. */
-    struct mg_connection *connection; /**< The caller's connection. */
-    struct view body;                 /**< Encoded request. */
-    ResourceKind kind;                /**< Kind of resource that the method is about. */
+    struct gateway *gateway;
+    struct mg_connection *connection;
+    struct view body;  /**< Encoded request. */
+    ResourceKind kind; /**< Set for methods on resources only. */
 };
 
-/* ---- Answers: operator_reply.c -------------------------------------------------------- */
+/* ---- Responses: operator_response.c ------------------------------------------------------ */
 
-/** Sends an error in Connect's form; the code tells the HTTP status. */
+/** Sends a Connect error; the HTTP status follows from the code. */
 void operator_send_error(struct operator_call *call, const char *code, enum run_state state, const char *text);
 
-/** Sends a message. */
 void operator_send_message(struct operator_call *call, const pb_msgdesc_t *fields, const void *message);
 
-/** Sends the error that an entry's result tells of. */
+/** Sends the Connect error for the result code. */
 void operator_send_result_error(struct operator_call *call, const EntryResult *result);
 
 /** Sends all findings in one error. */
@@ -37,14 +34,14 @@
 void operator_get(struct operator_call *call);
 void operator_list(struct operator_call *call);
 
-/* ---- Programs of another site: operator_handover.c ------------------------------------ */
+/* ---- Handover of programs from another site: operator_handover.c ---------------------- */
 
 void operator_handover(struct operator_call *call, HandoverStep step);
 
-/* ---- The fleet itself: operator_fleet.c ------------------------------------------------ */
+/* ---- Status and membership: operator_status.c ------------------------------------------- */
 
 void operator_status(struct operator_call *call);
-void operator_wait(struct operator_call *call);
+void operator_wait_revision(struct operator_call *call);
 void operator_change_replica(struct operator_call *call);
 
 #endif
--- a/src/daemon/operator_resources.c
+++ b/src/daemon/operator_resources.c
@@ -1,4 +1,4 @@
-/* Services, pools, policies and tenants: change, get, list. */
+/* Operator RPC: Create, Update, Delete, Get and List of services, pools, policies and tenants. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -60,7 +60,8 @@
     message_free(ResourceChange_fields, &change);
 }
 
-/* Reads the whole configuration, linearizably. Close with message_free and buffer_close. */
+/* Linearizable read; false: an error was sent. Free `reply` with buffer_close(), and
+ * `state` with message_free() if the read succeeded. */
 static bool operator_read_config(struct operator_call *call, struct buffer *reply, ConfigState *state)
 {
     ConfigQuery query = {0};
@@ -68,7 +69,7 @@
     memset(state, 0, sizeof(*state));
     message_encode(&body, ConfigQuery_fields, &query);
     ResultCode code = control_call(call->gateway->control, STATE_CONFIG_GROUP, REQUEST_CONFIG, buffer_view(&body),
-                                   GATEWAY_CONTROL_MS, reply);
+                                   GATEWAY_CONTROL_TIMEOUT_MS, reply);
     buffer_close(&body);
     if (code == RESULT_OK && message_decode(buffer_view(reply), ConfigState_fields, state)) {
         return true;
@@ -113,8 +114,8 @@
         return;
     }
     struct buffer body = {0};
-    uint8_t *place = buffer_reserve(&body, reply.length + 32);
-    pb_ostream_t stream = pb_ostream_from_buffer(place, reply.length + 32);
+    uint8_t *output = buffer_reserve(&body, reply.length + 32);
+    pb_ostream_t stream = pb_ostream_from_buffer(output, reply.length + 32);
     bool encoded = true;
     for (pb_size_t i = state.items_count; i > 0; i--) {
         const ConfigItem *item = &state.items[i - 1];
--- a/src/daemon/operator_reply.c
+++ b/src/daemon/operator_response.c
@@ -1,4 +1,4 @@
-/* Answers of the operators' RPC, in the forms of the Connect protocol. */
+/* Operator RPC: responses and errors in the format of the Connect protocol. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -8,7 +8,6 @@
 #include "base/message.h"
 #include "daemon/operator_internal.h"
 
-/* Connect's error codes with their HTTP statuses. */
 static int operator_http_status(const char *code)
 {
     static const struct {
--- a/src/daemon/operator_fleet.c
+++ b/src/daemon/operator_status.c
@@ -1,11 +1,11 @@
-/* The fleet's own state: status, changes in force, replicas added and removed. */
+/* Operator RPC: GetStatus, WaitRevision, ChangeReplica. */
 #include <string.h>
 
 #include "base/clock.h"
 #include "base/message.h"
 #include "daemon/operator_internal.h"
 
-enum { OPERATOR_WAIT_STEP_US = 20000, OPERATOR_WAIT_MAX_MS = 60000, OPERATOR_WAIT_DEFAULT_MS = 10000 };
+enum { OPERATOR_POLL_US = 20000, OPERATOR_MAX_WAIT_MS = 60000, OPERATOR_DEFAULT_WAIT_MS = 10000 };
 
 /* ---- Status -------------------------------------------------------------------------------- */
 
@@ -23,8 +23,10 @@
     operator_send_message(call, GetStatusResponse_fields, &response);
 }
 
-/* Asks the leader of group 0 who lags; true: nobody does. */
-static bool operator_is_in_force(struct operator_call *call, uint64_t revision, struct buffer *reply, LagList *list)
+/* Asks the leader of the configuration group which nodes have not applied the revision; true if none. Free `list` with
+ * message_free(); call again only after that. */
+static bool operator_is_revision_applied(struct operator_call *call, uint64_t revision, struct buffer *reply,
+                                         LagList *list)
 {
     LagQuery query = {.revision = revision};
     struct buffer body = {0};
@@ -32,31 +34,31 @@
     buffer_clear(reply);
     message_encode(&body, LagQuery_fields, &query);
     ResultCode code = control_call(call->gateway->control, STATE_CONFIG_GROUP, REQUEST_LAG, buffer_view(&body),
-                                   GATEWAY_CONTROL_MS, reply);
+                                   GATEWAY_CONTROL_TIMEOUT_MS, reply);
     buffer_close(&body);
-    bool read = code == RESULT_OK && message_decode(buffer_view(reply), LagList_fields, list);
-    return read && list->revision >= revision && list->nodes_count == 0;
+    bool decoded = code == RESULT_OK && message_decode(buffer_view(reply), LagList_fields, list);
+    return decoded && list->revision >= revision && list->nodes_count == 0;
 }
 
-void operator_wait(struct operator_call *call)
+void operator_wait_revision(struct operator_call *call)
 {
     WaitRevisionRequest request = {0};
     if (!message_decode(call->body, WaitRevisionRequest_fields, &request)) {
         operator_send_error(call, "invalid_argument", RUN_STATE_NOT_RUN, "the request does not decode");
         return;
     }
-    uint32_t timeout_ms = request.timeout_ms == 0 ? OPERATOR_WAIT_DEFAULT_MS : request.timeout_ms;
-    timeout_ms = timeout_ms > OPERATOR_WAIT_MAX_MS ? OPERATOR_WAIT_MAX_MS : timeout_ms;
+    uint32_t timeout_ms = request.timeout_ms == 0 ? OPERATOR_DEFAULT_WAIT_MS : request.timeout_ms;
+    timeout_ms = timeout_ms > OPERATOR_MAX_WAIT_MS ? OPERATOR_MAX_WAIT_MS : timeout_ms;
     uint64_t deadline_ms = clock_monotonic_ms() + timeout_ms;
     struct buffer reply = {0};
     LagList list;
-    bool in_force = operator_is_in_force(call, request.revision, &reply, &list);
-    while (!in_force && clock_monotonic_ms() < deadline_ms) {
+    bool applied_everywhere = operator_is_revision_applied(call, request.revision, &reply, &list);
+    while (!applied_everywhere && clock_monotonic_ms() < deadline_ms) {
         message_free(LagList_fields, &list);
-        clock_sleep_us(OPERATOR_WAIT_STEP_US);
-        in_force = operator_is_in_force(call, request.revision, &reply, &list);
+        clock_sleep_us(OPERATOR_POLL_US);
+        applied_everywhere = operator_is_revision_applied(call, request.revision, &reply, &list);
     }
-    WaitRevisionResponse response = {.in_force = in_force, .revision = list.revision};
+    WaitRevisionResponse response = {.in_force = applied_everywhere, .revision = list.revision};
     response.lagging_nodes_count = list.nodes_count;
     response.lagging_nodes = list.nodes;
     operator_send_message(call, WaitRevisionResponse_fields, &response);
@@ -66,7 +68,7 @@
 
 /* ---- Replicas ------------------------------------------------------------------------------ */
 
-/* One step in one group, repeated while the group cannot take it yet. */
+/* Retries until the group accepts the change, reports it as invalid, or the deadline passes. */
 static ResultCode operator_change_member(struct operator_call *call, uint32_t group, uint32_t node, MemberAction action,
                                          uint64_t deadline_ms)
 {
@@ -77,10 +79,10 @@
     ResultCode code = RESULT_ABORTED;
     while (code != RESULT_OK && code != RESULT_INVALID && clock_monotonic_ms() < deadline_ms) {
         buffer_clear(&reply);
-        code = control_call(call->gateway->control, group, REQUEST_MEMBERS, buffer_view(&body), GATEWAY_CONTROL_MS,
-                            &reply);
+        code = control_call(call->gateway->control, group, REQUEST_MEMBERS, buffer_view(&body),
+                            GATEWAY_CONTROL_TIMEOUT_MS, &reply);
         if (code != RESULT_OK) {
-            clock_sleep_us(OPERATOR_WAIT_STEP_US);
+            clock_sleep_us(OPERATOR_POLL_US);
         }
     }
     buffer_close(&body);
@@ -95,7 +97,7 @@
         operator_send_error(call, "invalid_argument", RUN_STATE_NOT_RUN, "node: a replica's id is needed");
         return;
     }
-    uint32_t timeout_ms = request.timeout_ms == 0 ? OPERATOR_WAIT_MAX_MS : request.timeout_ms;
+    uint32_t timeout_ms = request.timeout_ms == 0 ? OPERATOR_MAX_WAIT_MS : request.timeout_ms;
     uint64_t deadline_ms = clock_monotonic_ms() + timeout_ms;
     bool add = request.action == REPLICA_ADD;
     uint32_t groups = (uint32_t)call->gateway->settings->groups;
--- a/src/daemon/programs.c
+++ b/src/daemon/programs.c
@@ -12,12 +12,16 @@
 #include "base/message.h"
 #include "net/json_input.h"
 
-enum { PROGRAMS_HANDLED = 200, PROGRAMS_ID_DIGITS = 24, PROGRAMS_ROOT_DIGITS = 8, PROGRAMS_MAX_TEXT = 128 };
+enum {
+    PROGRAMS_HANDLED = 200,
+    PROGRAMS_ID_SUFFIX_DIGITS = 24,
+    PROGRAMS_ID_PREFIX_DIGITS = 8,
+    PROGRAMS_MAX_TEXT_LENGTH = 128
+};
 
 static const char PROGRAMS_PATH[] = "/v1/programs";
 static const char PROGRAMS_HEADERS[] = "X-Run-State: run\r\n";
 
-/* A request to this part. */
 struct programs_request {
     struct gateway *gateway;
     struct mg_connection *connection;
@@ -34,7 +38,7 @@
     json_decref(body);
 }
 
-static void programs_send_code(struct programs_request *request, ResultCode code)
+static void programs_send_result_code(struct programs_request *request, ResultCode code)
 {
     EntryResult result = {.code = code};
     if (code == RESULT_NOT_FOUND) {
@@ -49,8 +53,8 @@
 {
     const json_t *value = json_object_get(body, key);
     const char *text = json_string_value(value);
-    if (value != NULL && !json_is_null(value) && (text == NULL || strlen(text) > PROGRAMS_MAX_TEXT)) {
-        findings_add(findings, key, "must be a text of at most %d characters", PROGRAMS_MAX_TEXT);
+    if (value != NULL && !json_is_null(value) && (text == NULL || strlen(text) > PROGRAMS_MAX_TEXT_LENGTH)) {
+        findings_add(findings, key, "must be a text of at most %d characters", PROGRAMS_MAX_TEXT_LENGTH);
     }
     return text;
 }
@@ -70,14 +74,14 @@
 
 static void programs_check_keys(const json_t *body, struct findings *findings)
 {
-    static const char *const known[] = {"tenant", "policy", "budget_tokens", "deadline_ms", "parent"};
+    static const char *const known_keys[] = {"tenant", "policy", "budget_tokens", "deadline_ms", "parent"};
     const char *key = NULL;
     json_t *value = NULL;
     json_object_foreach((json_t *)(uintptr_t)body, key, value)
     {
         bool found = false;
-        for (size_t i = 0; i < sizeof(known) / sizeof(known[0]); i++) {
-            found = found || strcmp(known[i], key) == 0;
+        for (size_t i = 0; i < sizeof(known_keys) / sizeof(known_keys[0]); i++) {
+            found = found || strcmp(known_keys[i], key) == 0;
         }
         if (!found) {
             findings_add(findings, key, "unknown field");
@@ -85,53 +89,54 @@
     }
 }
 
-/* An id in the parent's group; with a key, the same id at every resend. */
-static void programs_name(const struct programs_request *request, const char *parent, char *id, size_t size)
+/* A child's id starts with its parent's prefix, which maps it to the same group.
+ * With an Idempotency-Key the id is derived from the key, so that a resent request gets the same id. */
+static void programs_make_id(const struct programs_request *request, const char *parent, char *id, size_t size)
 {
-    char root[GATEWAY_ID_LENGTH + 1];
-    char rest[PROGRAMS_ID_DIGITS + 1];
+    char prefix[GATEWAY_ID_LENGTH + 1];
+    char suffix[PROGRAMS_ID_SUFFIX_DIGITS + 1];
     const char *key = mg_get_header(request->connection, "Idempotency-Key");
-    gateway_random_hex(root, PROGRAMS_ROOT_DIGITS);
-    gateway_random_hex(rest, PROGRAMS_ID_DIGITS);
+    gateway_random_hex(prefix, PROGRAMS_ID_PREFIX_DIGITS);
+    gateway_random_hex(suffix, PROGRAMS_ID_SUFFIX_DIGITS);
     if (key != NULL) {
         uint64_t seed = XXH64(request->tenant, strlen(request->tenant), 1);
         XXH128_hash_t hash = XXH3_128bits_withSeed(key, strlen(key), seed);
-        snprintf(root, sizeof(root), "%08" PRIx32, (uint32_t)hash.high64);
-        snprintf(rest, sizeof(rest), "%016" PRIx64 "%08" PRIx32, hash.low64, (uint32_t)(hash.high64 >> 32));
+        snprintf(prefix, sizeof(prefix), "%08" PRIx32, (uint32_t)hash.high64);
+        snprintf(suffix, sizeof(suffix), "%016" PRIx64 "%08" PRIx32, hash.low64, (uint32_t)(hash.high64 >> 32));
     }
     if (parent != NULL) {
         const char *dash = strchr(parent, '-');
         size_t length = dash == NULL ? strlen(parent) : (size_t)(dash - parent);
-        snprintf(id, size, "%.*s-%s", (int)length, parent, rest);
+        snprintf(id, size, "%.*s-%s", (int)length, parent, suffix);
     } else {
-        snprintf(id, size, "p%s-%s", root, rest);
+        snprintf(id, size, "p%s-%s", prefix, suffix);
     }
 }
 
-static const Policy *programs_policy(const struct programs_request *request, const char *name,
-                                     struct findings *findings)
+static const Policy *programs_find_policy(const struct programs_request *request, const char *name,
+                                          struct findings *findings)
 {
-    const char *wanted = name != NULL ? name : request->default_policy;
+    const char *policy_name = name != NULL ? name : request->default_policy;
     const Policy *policy = NULL;
-    if (text_or_empty(wanted)[0] != '\0') {
-        policy = config_view_policy(request->view, wanted);
+    if (text_or_empty(policy_name)[0] != '\0') {
+        policy = config_view_policy(request->view, policy_name);
     } else if (request->view->policy_count > 0) {
         policy = &request->view->policies[0];
     }
     if (policy == NULL) {
-        findings_add(findings, "policy", "there is no policy '%s'", text_or_empty(wanted));
+        findings_add(findings, "policy", "there is no policy '%s'", text_or_empty(policy_name));
     }
     return policy;
 }
 
-static void programs_create_valid(struct programs_request *request, const json_t *body, const Policy *policy)
+static void programs_propose_create(struct programs_request *request, const json_t *body, const Policy *policy)
 {
     struct findings ignored = {0};
     const char *parent = json_string_value(json_object_get(body, "parent"));
     uint64_t budget = programs_read_number(body, "budget_tokens", &ignored);
     uint64_t deadline_ms = programs_read_number(body, "deadline_ms", &ignored);
-    char id[2 * GATEWAY_ID_LENGTH + PROGRAMS_MAX_TEXT];
-    programs_name(request, parent, id, sizeof(id));
+    char id[2 * GATEWAY_ID_LENGTH + PROGRAMS_MAX_TEXT_LENGTH];
+    programs_make_id(request, parent, id, sizeof(id));
     Entry entry = {0};
     entry.which_command = Entry_program_create_tag;
     ProgramCreate *create = &entry.command.program_create;
@@ -171,7 +176,7 @@
         programs_read_text(body, "parent", &findings);
         programs_read_number(body, "budget_tokens", &findings);
         programs_read_number(body, "deadline_ms", &findings);
-        policy = programs_policy(request, programs_read_text(body, "policy", &findings), &findings);
+        policy = programs_find_policy(request, programs_read_text(body, "policy", &findings), &findings);
     }
     if (findings.count > 0 || policy == NULL) {
         struct http_error invalid = {400, "invalid_request", RUN_STATE_NOT_RUN, 0};
@@ -180,13 +185,13 @@
         http_send_error(request->connection, &invalid, "%s", buffer_text(&report));
         buffer_close(&report);
     } else {
-        programs_create_valid(request, body, policy);
+        programs_propose_create(request, body, policy);
     }
     findings_close(&findings);
     json_decref(body);
 }
 
-/* ---- Show and end -------------------------------------------------------------------- */
+/* ---- Get, history and end --------------------------------------------------------------------- */
 
 static const char *programs_state_name(uint32_t state)
 {
@@ -203,12 +208,12 @@
         code = RESULT_NOT_FOUND;
     }
     if (code != RESULT_OK) {
-        programs_send_code(request, code);
+        programs_send_result_code(request, code);
     }
     return code == RESULT_OK;
 }
 
-static void programs_show(struct programs_request *request, const char *id)
+static void programs_get(struct programs_request *request, const char *id)
 {
     ProgramView view;
     if (!programs_read(request, id, 0, &view)) {
@@ -258,24 +263,24 @@
 
 /* ---- Dispatch -------------------------------------------------------------------------- */
 
-static void programs_dispatch_one(struct programs_request *request, const char *method, char *path)
+static void programs_dispatch_program(struct programs_request *request, const char *method, char *path)
 {
     static const struct http_error wrong_method = {405, "method_not_allowed", RUN_STATE_NOT_RUN, 0};
     static const struct http_error not_found = {404, "not_found", RUN_STATE_NOT_RUN, 0};
-    char *slash = strchr(path, '/');
-    bool history = slash != NULL && strcmp(slash, "/history") == 0;
-    if (slash != NULL && !history) {
+    char *subresource = strchr(path, '/');
+    bool history = subresource != NULL && strcmp(subresource, "/history") == 0;
+    if (subresource != NULL && !history) {
         http_send_error(request->connection, &not_found, "no such resource");
         return;
     }
-    if (slash != NULL) {
-        *slash = '\0';
+    if (subresource != NULL) {
+        *subresource = '\0';
     }
     if (strcmp(method, "GET") == 0) {
         if (history) {
             programs_history(request, path);
         } else {
-            programs_show(request, path);
+            programs_get(request, path);
         }
     } else if (strcmp(method, "DELETE") == 0 && !history) {
         programs_end(request, path);
@@ -288,10 +293,10 @@
 {
     static const struct http_error wrong_method = {405, "method_not_allowed", RUN_STATE_NOT_RUN, 0};
     const struct mg_request_info *info = mg_get_request_info(request->connection);
-    const char *rest = info->local_uri + sizeof(PROGRAMS_PATH) - 1;
-    if (rest[0] == '/' && rest[1] != '\0') {
-        char *path = text_copy(rest + 1);
-        programs_dispatch_one(request, info->request_method, path);
+    const char *subpath = info->local_uri + sizeof(PROGRAMS_PATH) - 1;
+    if (subpath[0] == '/' && subpath[1] != '\0') {
+        char *path = text_copy(subpath + 1);
+        programs_dispatch_program(request, info->request_method, path);
         free(path);
         return;
     }
@@ -316,7 +321,7 @@
     struct programs_request request = {.gateway = context, .connection = connection};
     struct http_error not_ready = {503, "not_ready", RUN_STATE_NOT_RUN, 1};
     struct admission_limits limits;
-    if (!gateway_enter(request.gateway, connection)) {
+    if (!gateway_begin_request(request.gateway, connection)) {
         return PROGRAMS_HANDLED;
     }
     request.view = config_view_pin();
@@ -331,7 +336,7 @@
         }
     }
     config_view_unpin(request.view);
-    gateway_leave(request.gateway);
+    gateway_end_request(request.gateway);
     return PROGRAMS_HANDLED;
 }
 
--- a/src/daemon/services.c
+++ b/src/daemon/services.c
@@ -12,29 +12,30 @@
     SERVICES_MAX_BACKENDS = 256,
     SERVICES_CONNECT_TIMEOUT_MS = 1000,
     SERVICES_DEFAULT_TIMEOUT_MS = 30000,
-    SERVICES_MAX_TRIES = 3,
-    SERVICES_MAX_ANSWER = 64 << 20
+    SERVICES_MAX_ATTEMPTS = 3,
+    SERVICES_MAX_RESPONSE_BYTES = 64 << 20
 };
 
 static const char SERVICES_PATH[] = "/services/";
 
-/* A plain request under way. */
 struct service_call {
     struct gateway *gateway;
     struct mg_connection *connection;
     const Service *service;
-    const char *rest; /* path behind the service's name, with its slash */
+    const char *path; /* after the service's name; starts with a slash */
     struct view body;
     bool repeatable;
     char tried[SERVICES_MAX_BACKENDS];
     int status;
-    struct buffer answer;
-    struct buffer headers;
+    struct buffer response_body;
+    struct buffer response_headers;
     char *content_type;
     bool draining;
 };
 
-static bool services_is_hop_header(const char *name)
+/* Headers that are not forwarded: hop-by-hop headers (RFC 9110, section 7.6.1) and those that the HTTP layer or the
+ * gateway sets itself. */
+static bool services_is_excluded_header(const char *name)
 {
     static const char *const names[] = {
         "Connection",          "Keep-Alive",         "Transfer-Encoding", "TE",   "Trailer", "Upgrade",
@@ -51,10 +52,10 @@
 {
     struct service_call *call = context;
     (void)status;
-    if (call->answer.length + data.length > SERVICES_MAX_ANSWER) {
+    if (call->response_body.length + data.length > SERVICES_MAX_RESPONSE_BYTES) {
         return false;
     }
-    buffer_append(&call->answer, data.data, data.length);
+    buffer_append(&call->response_body, data.data, data.length);
     return true;
 }
 
@@ -66,12 +67,12 @@
         call->content_type = text_copy(value);
     } else if (strcasecmp(name, "X-Draining") == 0) {
         call->draining = strcmp(value, "true") == 0;
-    } else if (!services_is_hop_header(name)) {
-        buffer_printf(&call->headers, "%s: %s\r\n", name, value);
+    } else if (!services_is_excluded_header(name)) {
+        buffer_printf(&call->response_headers, "%s: %s\r\n", name, value);
     }
 }
 
-static const Backend *services_place(struct service_call *call)
+static const Backend *services_choose_backend(struct service_call *call)
 {
     struct placement_candidate candidates[SERVICES_MAX_BACKENDS];
     size_t count = call->service->backends_count;
@@ -81,11 +82,11 @@
     for (size_t i = 0; i < count; i++) {
         const Backend *backend = &call->service->backends[i];
         candidates[i].usable = !backend->draining && call->tried[i] == 0;
-        endpoints_describe(&call->gateway->endpoints, text_or_empty(backend->base_url), now_ms, &candidates[i]);
+        endpoints_fill_candidate(&call->gateway->endpoints, text_or_empty(backend->base_url), now_ms, &candidates[i]);
     }
     struct placement_call placement = {
         .mode = PLACEMENT_MODE_ROUND_ROBIN,
-        .rotation = endpoints_rotate(&call->gateway->endpoints),
+        .rotation = endpoints_next_rotation(&call->gateway->endpoints),
     };
     int chosen = placement_choose(&placement, candidates, count);
     if (chosen == PLACEMENT_NONE) {
@@ -99,18 +100,18 @@
 {
     const struct mg_request_info *info = mg_get_request_info(call->connection);
     for (int i = 0; i < info->num_headers; i++) {
-        if (!services_is_hop_header(info->http_headers[i].name)) {
-            http_request_header(request, "%s: %s", info->http_headers[i].name, info->http_headers[i].value);
+        if (!services_is_excluded_header(info->http_headers[i].name)) {
+            http_request_add_header(request, "%s: %s", info->http_headers[i].name, info->http_headers[i].value);
         }
     }
-    http_request_header(request, "X-Forwarded-For: %s", info->remote_addr);
+    http_request_add_header(request, "X-Forwarded-For: %s", info->remote_addr);
 }
 
-static enum http_transfer_result services_run_at(struct service_call *call, const Backend *backend)
+static enum http_transfer_result services_run_attempt(struct service_call *call, const Backend *backend)
 {
     const struct mg_request_info *info = mg_get_request_info(call->connection);
     struct buffer url = {0};
-    buffer_printf(&url, "%s%s", backend->base_url, call->rest);
+    buffer_printf(&url, "%s%s", backend->base_url, call->path);
     if (info->query_string != NULL) {
         buffer_printf(&url, "?%s", info->query_string);
     }
@@ -127,28 +128,28 @@
         .on_header = services_on_header,
     };
     services_copy_headers(call, &request);
-    buffer_clear(&call->answer);
-    buffer_clear(&call->headers);
+    buffer_clear(&call->response_body);
+    buffer_clear(&call->response_headers);
     call->draining = false;
     uint64_t started_ms = clock_monotonic_ms();
-    endpoints_begin(&call->gateway->endpoints, backend->base_url);
+    endpoints_begin_call(&call->gateway->endpoints, backend->base_url);
     enum http_transfer_result result = http_client_run(&request, &call->status);
     uint64_t now_ms = clock_monotonic_ms();
     enum endpoint_outcome outcome = call->draining                 ? ENDPOINT_DRAINING
                                     : result == HTTP_TRANSFER_DONE ? ENDPOINT_SUCCESS
                                                                    : ENDPOINT_FAILURE;
-    endpoints_end(&call->gateway->endpoints, backend->base_url, outcome, now_ms, now_ms - started_ms, NULL);
+    endpoints_end_call(&call->gateway->endpoints, backend->base_url, outcome, now_ms, now_ms - started_ms, NULL);
     http_request_close(&request);
     buffer_close(&url);
     return result;
 }
 
-static void services_send_answer(struct service_call *call)
+static void services_send_response(struct service_call *call)
 {
-    buffer_append_text(&call->headers, "X-Run-State: run\r\n");
+    buffer_append_text(&call->response_headers, "X-Run-State: run\r\n");
     http_send(call->connection, call->status,
-              call->content_type == NULL ? "application/octet-stream" : call->content_type, buffer_text(&call->headers),
-              buffer_view(&call->answer));
+              call->content_type == NULL ? "application/octet-stream" : call->content_type,
+              buffer_text(&call->response_headers), buffer_view(&call->response_body));
 }
 
 static void services_send_failure(struct service_call *call, bool may_have_run)
@@ -166,20 +167,20 @@
 static void services_run(struct service_call *call)
 {
     bool may_have_run = false;
-    endpoints_note_request(&call->gateway->endpoints);
+    endpoints_record_request(&call->gateway->endpoints);
     gateway_count(call->gateway, service_requests);
-    for (int attempt = 1; attempt <= SERVICES_MAX_TRIES; attempt++) {
+    for (int attempt = 1; attempt <= SERVICES_MAX_ATTEMPTS; attempt++) {
         if (attempt > 1 && !endpoints_take_retry(&call->gateway->endpoints)) {
             break;
         }
-        const Backend *backend = services_place(call);
+        const Backend *backend = services_choose_backend(call);
         if (backend == NULL) {
             break;
         }
-        enum http_transfer_result result = services_run_at(call, backend);
+        enum http_transfer_result result = services_run_attempt(call, backend);
         bool refused = result == HTTP_TRANSFER_DONE && call->draining && call->status == 503;
         if (result == HTTP_TRANSFER_DONE && !refused) {
-            services_send_answer(call);
+            services_send_response(call);
             return;
         }
         may_have_run = may_have_run || !(refused || result == HTTP_TRANSFER_NOT_SENT);
@@ -190,7 +191,7 @@
     services_send_failure(call, may_have_run);
 }
 
-/* A request is repeatable if its method promises it, or if the caller does. */
+/* X-Repeatable decides; without it, methods that are idempotent (RFC 9110, section 9.2.2) are repeatable. */
 static bool services_is_repeatable(struct mg_connection *connection, const char *method)
 {
     const char *header = mg_get_header(connection, "X-Repeatable");
@@ -207,7 +208,7 @@
     const struct mg_request_info *info = mg_get_request_info(connection);
     char *name = text_copy(info->local_uri_raw + sizeof(SERVICES_PATH) - 1);
     char *slash = strchr(name, '/');
-    char *rest = text_copy(slash == NULL ? "/" : slash);
+    char *path = text_copy(slash == NULL ? "/" : slash);
     if (slash != NULL) {
         *slash = '\0';
     }
@@ -216,7 +217,7 @@
     struct service_call *call = memory_new(sizeof(*call));
     call->gateway = gateway;
     call->connection = connection;
-    call->rest = rest;
+    call->path = path;
     call->service = config_view_service(view, name);
     call->repeatable = services_is_repeatable(connection, info->request_method);
     bool has_body = info->content_length > 0 || mg_get_header(connection, "Transfer-Encoding") != NULL;
@@ -229,12 +230,12 @@
     } else {
         services_run(call);
     }
-    buffer_close(&call->answer);
-    buffer_close(&call->headers);
+    buffer_close(&call->response_body);
+    buffer_close(&call->response_headers);
     free(call->content_type);
     free(call);
     buffer_close(&body);
-    free(rest);
+    free(path);
     free(name);
 }
 
@@ -242,7 +243,7 @@
 {
     struct gateway *gateway = context;
     struct http_error not_ready = {503, "not_ready", RUN_STATE_NOT_RUN, 1};
-    if (!gateway_enter(gateway, connection)) {
+    if (!gateway_begin_request(gateway, connection)) {
         return SERVICES_HANDLED;
     }
     struct config_view *view = config_view_pin();
@@ -253,6 +254,6 @@
         services_serve(gateway, connection, view);
     }
     config_view_unpin(view);
-    gateway_leave(gateway);
+    gateway_end_request(gateway);
     return SERVICES_HANDLED;
 }
--- a/src/daemon/services.h
+++ b/src/daemon/services.h
@@ -1,14 +1,15 @@
 /**
  * @file services.h
- * /services/{name}/...: plain requests passed to the back ends of a service.
- * They need no lease and no ledger, so they go on while the state is away.
+ * /services/{name}/...: forwards requests to the back ends of a service. This
+ * needs neither a lease nor the ledger, so it works while the state replicas are
+ * unavailable.
  */
 #ifndef BANKBANK_DAEMON_SERVICES_H
 #define BANKBANK_DAEMON_SERVICES_H
 
 #include "daemon/gateway.h"
 
-/** CivetWeb handler of /services/. */
+/** CivetWeb request handler of /services/; `context` is the struct gateway. */
 int services_handle(struct mg_connection *connection, void *context);
 
 #endif
--- a/src/daemon/settings.c
+++ b/src/daemon/settings.c
@@ -27,10 +27,9 @@
     {                                                                                                                  \
         .key = name, .type = YAML_FLAG, .offset = offsetof(struct settings, field)                                     \
     }
-#define SETTING_NUMBER(name, field, least, most)                                                                       \
+#define SETTING_NUMBER(name, field, min, max)                                                                          \
     {                                                                                                                  \
-        .key = name, .type = YAML_NUMBER, .offset = offsetof(struct settings, field), .minimum = least,                \
-        .maximum = most                                                                                                \
+        .key = name, .type = YAML_NUMBER, .offset = offsetof(struct settings, field), .minimum = min, .maximum = max   \
     }
 
 static const struct yaml_field settings_fields[] = {
@@ -106,31 +105,32 @@
         return;
     }
     if (empty || !address_parse(value, &address)) {
-        struct buffer place = {0};
-        buffer_printf(&place, "%s: %s", path, key);
-        findings_add(findings, buffer_text(&place), "must be IP:PORT, such as 127.0.0.1:8080, not '%s'",
+        struct buffer location = {0};
+        buffer_printf(&location, "%s: %s", path, key);
+        findings_add(findings, buffer_text(&location), "must be IP:PORT, such as 127.0.0.1:8080, not '%s'",
                      text_or_empty(value));
-        buffer_close(&place);
+        buffer_close(&location);
     }
 }
 
 static void settings_check_replicas(const struct settings *settings, const char *path, struct findings *findings)
 {
     const struct settings_replica *replicas = settings->replicas.items;
-    bool listed = false;
+    bool self_listed = false;
     size_t members = 0;
     for (size_t i = 0; i < settings->replicas.count; i++) {
         settings_check_address(path, "replicas.address", replicas[i].address, false, findings);
-        listed = listed || replicas[i].node == settings->node;
+        self_listed = self_listed || replicas[i].node == settings->node;
         members += replicas[i].spare ? 0 : 1;
         for (size_t j = 0; j < i; j++) {
             if (replicas[j].node == replicas[i].node) {
-                findings_add(findings, path, "replicas: node %llu stands twice", (unsigned long long)replicas[i].node);
+                findings_add(findings, path, "replicas: node %llu is listed twice",
+                             (unsigned long long)replicas[i].node);
             }
         }
     }
     if (settings->replicas.count > 0 && members == 0) {
-        findings_add(findings, path, "replicas: at least one must not be spare");
+        findings_add(findings, path, "replicas: at least one must not be a spare");
     }
     if (settings->replicas.count > RAFT_MAX_MEMBERS) {
         findings_add(findings, path, "replicas: at most %d are allowed", RAFT_MAX_MEMBERS);
@@ -138,7 +138,7 @@
     if (!settings->state_role && settings->replicas.count == 0) {
         findings_add(findings, path, "replicas: a daemon without the state role needs at least one");
     }
-    if (settings->state_role && settings->replicas.count > 0 && !listed) {
+    if (settings->state_role && settings->replicas.count > 0 && !self_listed) {
         findings_add(findings, path, "replicas: this daemon has the state role and must be listed");
     }
     bool needs_peer = settings->state_role && settings->replicas.count > 0;
@@ -147,19 +147,20 @@
 
 void settings_check(const struct settings *settings, const char *path, struct findings *findings)
 {
-    const char *place = path == NULL ? "settings" : path;
+    const char *location = path == NULL ? "settings" : path;
     enum log_level level;
-    settings_check_address(place, "caller_address", settings->caller_address, !settings->gateway_role, findings);
-    settings_check_address(place, "operator_address", settings->operator_address, false, findings);
-    settings_check_replicas(settings, place, findings);
+    settings_check_address(location, "caller_address", settings->caller_address, !settings->gateway_role, findings);
+    settings_check_address(location, "operator_address", settings->operator_address, false, findings);
+    settings_check_replicas(settings, location, findings);
     if (!settings->state_role && !settings->gateway_role) {
-        findings_add(findings, place, "state_role, gateway_role: at least one must be true");
+        findings_add(findings, location, "state_role, gateway_role: at least one must be true");
     }
     if (settings->heartbeat_ms * 3 > settings->election_timeout_ms) {
-        findings_add(findings, place, "heartbeat_ms: must be at most a third of election_timeout_ms");
+        findings_add(findings, location, "heartbeat_ms: must be at most a third of election_timeout_ms");
     }
     if (!log_level_parse(settings->log_level, &level)) {
-        findings_add(findings, place, "log_level: must be error, warn, info or debug, not '%s'", settings->log_level);
+        findings_add(findings, location, "log_level: must be error, warn, info or debug, not '%s'",
+                     settings->log_level);
     }
 }
 
--- a/src/daemon/settings.h
+++ b/src/daemon/settings.h
@@ -1,6 +1,6 @@
 /**
  * @file settings.h
- * The daemon's settings file and flags. Flags override the file.
+ * Settings of the daemon; command-line flags override the file.
  */
 #ifndef BANKBANK_DAEMON_SETTINGS_H
 #define BANKBANK_DAEMON_SETTINGS_H
@@ -14,52 +14,49 @@
 
 enum { SETTINGS_MAX_GROUPS = 64 };
 
-/** A state replica of the fleet. */
 struct settings_replica {
-    uint64_t node; /**< Node id. */
-    char *address; /**< IP:PORT of its peer link. */
-    bool spare;    /**< Known, but not a member at first; added by an operator. */
+    uint64_t node;
+    char *address; /**< IP:PORT of its peer listener. */
+    bool spare;    /**< Not an initial member; an operator can add it later. */
 };
 
-/** All settings of one daemon. */
 struct settings {
-    char *cluster;                /**< Name that all daemons of the fleet share. */
-    uint64_t node;                /**< This daemon's id, unique in the fleet. */
-    char *zone;                   /**< Zone the machine stands in. */
-    char *data;                   /**< Data folder; required with the state role. */
+    char *cluster; /**< The same in all daemons of the fleet. */
+    uint64_t node; /**< Id of this daemon, unique in the fleet. */
+    char *zone;
+    char *data;                   /**< Folder of the log and the histories; used with the state role. */
     bool state_role;              /**< Holds a replica of the state. */
     bool gateway_role;            /**< Serves callers. */
     char *caller_address;         /**< IP:PORT for callers. */
     char *operator_address;       /**< IP:PORT for operators. */
-    char *peer_address;           /**< IP:PORT of the peer link; empty: none (one daemon alone). */
-    struct yaml_list replicas;    /**< struct settings_replica; empty: this daemon alone. */
-    uint64_t groups;              /**< Replicated groups, configuration group included. */
-    uint64_t election_timeout_ms; /**< Least time without a leader before an election. */
-    uint64_t heartbeat_ms;        /**< Leaders' heartbeat period. */
-    uint64_t lease_ms;            /**< Lease of a gateway. */
-    uint64_t threads;             /**< Threads that serve callers, one an open request. */
-    uint64_t operator_threads;    /**< Threads that serve operators. */
-    uint64_t max_body_bytes;      /**< Largest request body. */
-    uint64_t call_timeout_ms;     /**< Time a call may take without another limit. */
-    uint64_t drain_timeout_ms;    /**< Time a planned stop waits for requests in flight. */
-    bool allow_anonymous;         /**< Callers without a key are tenant "anonymous". */
-    char *machine_list_url;       /**< Platform's list of live and leaving machines, or empty. */
+    char *peer_address;           /**< IP:PORT of the peer listener; empty: none (single daemon). */
+    struct yaml_list replicas;    /**< Items: struct settings_replica; empty: single daemon. */
+    uint64_t groups;              /**< Replicated groups, including the configuration group. */
+    uint64_t election_timeout_ms; /**< Minimum; a jitter of up to the same length is added. */
+    uint64_t heartbeat_ms;        /**< Period of leaders' heartbeats; at most a third of election_timeout_ms. */
+    uint64_t lease_ms;            /**< Duration of a gateway's lease. */
+    uint64_t threads;             /**< Serve callers; each thread serves one connection at a time. */
+    uint64_t operator_threads;    /**< Serve operators; each thread serves one connection at a time. */
+    uint64_t max_body_bytes;      /**< Upper limit of a caller's request. */
+    uint64_t call_timeout_ms;     /**< Of a call that sets no deadline. */
+    uint64_t drain_timeout_ms;    /**< Longest wait for requests in flight at a planned stop. */
+    bool allow_anonymous;         /**< Callers without a key belong to the tenant "anonymous". */
+    char *machine_list_url;       /**< Empty: none. */
     char *log_level;              /**< error, warn, info or debug. */
 };
 
-/** Reads flags and file, and checks everything; faults go to `findings`. */
+/** Sets the defaults and reads the file; `path` NULL: defaults only. Adds errors to `findings`. */
 void settings_load(struct settings *settings, const char *path, struct findings *findings);
 
-/** Checks what spans several keys; call after flags were applied. */
+/** Checks addresses, the log level and conditions that involve several keys; call it after applying the flags. */
 void settings_check(const struct settings *settings, const char *path, struct findings *findings);
 
-/** Frees the settings. */
 void settings_close(struct settings *settings);
 
-/** Bootstrap members: the listed replicas that are not spare, or this daemon alone. */
+/** Initial members: the listed replicas that are not spares, or only this daemon if none are listed. */
 void settings_members(const struct settings *settings, struct raft_members *members);
 
-/** Address of a state replica, or NULL. */
+/** NULL if `node` is not a listed replica. */
 const char *settings_replica_address(const struct settings *settings, uint32_t node);
 
 #endif
--- a/src/daemon/worker.c
+++ b/src/daemon/worker.c
@@ -3,17 +3,18 @@
 #include <string.h>
 #include <time.h>
 
+/* Call with the lock held. */
 static void worker_pause(struct worker *worker)
 {
-    struct timespec until;
-    clock_gettime(CLOCK_REALTIME, &until);
-    until.tv_sec += worker->period_ms / 1000;
-    until.tv_nsec += (long)(worker->period_ms % 1000) * 1000000L;
-    if (until.tv_nsec >= 1000000000L) {
-        until.tv_sec++;
-        until.tv_nsec -= 1000000000L;
+    struct timespec wake_time;
+    clock_gettime(CLOCK_REALTIME, &wake_time);
+    wake_time.tv_sec += worker->period_ms / 1000;
+    wake_time.tv_nsec += (long)(worker->period_ms % 1000) * 1000000L;
+    if (wake_time.tv_nsec >= 1000000000L) {
+        wake_time.tv_sec++;
+        wake_time.tv_nsec -= 1000000000L;
     }
-    pthread_cond_timedwait(&worker->wake, &worker->lock, &until);
+    pthread_cond_timedwait(&worker->wake, &worker->lock, &wake_time);
 }
 
 static void *worker_run(void *argument)
--- a/src/daemon/worker.h
+++ b/src/daemon/worker.h
@@ -1,6 +1,6 @@
 /**
  * @file worker.h
- * A background thread that runs one job at a fixed period until stopped.
+ * A background thread that runs one job periodically.
  */
 #ifndef BANKBANK_DAEMON_WORKER_H
 #define BANKBANK_DAEMON_WORKER_H
@@ -9,22 +9,21 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** A periodic job. */
 struct worker {
-    pthread_t thread;           /**< Its thread. */
-    pthread_mutex_t lock;       /**< Guards `stopping`. */
-    pthread_cond_t wake;        /**< Ends the pause on stop. */
-    bool stopping;              /**< Asked to end. */
-    bool started;               /**< The thread runs. */
-    uint32_t period_ms;         /**< Pause between runs. */
-    void (*job)(void *context); /**< The job. */
-    void *context;              /**< Its argument. */
+    pthread_t thread;
+    pthread_mutex_t lock; /**< Guards `stopping`. */
+    pthread_cond_t wake;  /**< Signalled by worker_stop(). */
+    bool stopping;
+    bool started;
+    uint32_t period_ms; /**< Pause after each run. */
+    void (*job)(void *context);
+    void *context;
 };
 
-/** Starts the job. */
+/** False if the thread cannot be created. */
 bool worker_start(struct worker *worker, uint32_t period_ms, void (*job)(void *context), void *context);
 
-/** Waits for the current run and ends the thread. */
+/** Waits for the current run to end; no effect on a zeroed worker. */
 void worker_stop(struct worker *worker);
 
 #endif
--- a/src/emulator/answer.c
+++ b/src/emulator/answer.c
@@ -6,16 +6,16 @@
 
 #include <xxhash.h>
 
-enum { ANSWER_MIN_TOKENS = 8, ANSWER_SPREAD_TOKENS = 24 };
+enum { ANSWER_MIN_TOKENS = 8, ANSWER_TOKEN_RANGE = 24 };
 
 static const char *const answer_words[] = {
     "the",    "monthly", "rate",   "is",   "fixed", "for",    "twelve", "years", "your",  "income", "covers",  "this",
     "amount", "with",    "room",   "to",   "spare", "please", "check",  "stock", "level", "before", "noon",    "van",
     "route",  "north",   "refund", "coin", "card",  "slot",   "number", "seven", "and",   "then",   "confirm", "total",
 };
-enum { ANSWER_WORDS = sizeof(answer_words) / sizeof(answer_words[0]) };
+enum { ANSWER_WORD_COUNT = sizeof(answer_words) / sizeof(answer_words[0]) };
 
-static char *answer_content(const json_t *message)
+static char *answer_copy_content(const json_t *message)
 {
     const json_t *content = json_object_get(message, "content");
     if (json_is_string(content)) {
@@ -25,18 +25,18 @@
     return text == NULL ? text_copy("") : text;
 }
 
-uint64_t answer_chain(uint64_t before, const json_t *message)
+uint64_t answer_extend_hash(uint64_t previous_hash, const json_t *message)
 {
     const char *role = text_or_empty(json_string_value(json_object_get(message, "role")));
-    char *content = answer_content(message);
-    uint64_t hash = XXH64(role, strlen(role), before);
+    char *content = answer_copy_content(message);
+    uint64_t hash = XXH64(role, strlen(role), previous_hash);
     hash = XXH64(content, strlen(content), hash);
     free(content);
     return hash;
 }
 
 /* A generated token is a word with the space before it. */
-static uint64_t answer_words_in(const char *content)
+static uint64_t answer_count_tokens(const char *content)
 {
     uint64_t words = content[0] == '\0' ? 0 : 1;
     for (; *content != '\0'; content++) {
@@ -48,18 +48,18 @@
 uint64_t answer_message_tokens(const json_t *message)
 {
     const char *role = text_or_empty(json_string_value(json_object_get(message, "role")));
-    char *content = answer_content(message);
+    char *content = answer_copy_content(message);
     uint64_t tokens = strcmp(role, "assistant") == 0
-                          ? answer_words_in(content)
+                          ? answer_count_tokens(content)
                           : (strlen(content) + ANSWER_BYTES_PER_TOKEN - 1) / ANSWER_BYTES_PER_TOKEN;
     free(content);
-    return tokens + ANSWER_MESSAGE_TOKENS;
+    return tokens + ANSWER_MESSAGE_OVERHEAD_TOKENS;
 }
 
 uint64_t answer_length(uint64_t prompt_hash, uint64_t max_tokens, bool exact)
 {
-    uint64_t natural = ANSWER_MIN_TOKENS + prompt_hash % ANSWER_SPREAD_TOKENS;
-    return exact || natural > max_tokens ? max_tokens : natural;
+    uint64_t default_length = ANSWER_MIN_TOKENS + prompt_hash % ANSWER_TOKEN_RANGE;
+    return exact || default_length > max_tokens ? max_tokens : default_length;
 }
 
 void answer_token(uint64_t prompt_hash, uint64_t index, struct buffer *out)
@@ -68,16 +68,16 @@
         buffer_printf(out, "%08" PRIx64, prompt_hash >> 32);
         return;
     }
-    uint64_t material[2] = {prompt_hash, index};
-    uint64_t pick = XXH64(material, sizeof(material), 0) % ANSWER_WORDS;
-    buffer_printf(out, " %s", answer_words[pick]);
+    uint64_t key[2] = {prompt_hash, index};
+    uint64_t word = XXH64(key, sizeof(key), 0) % ANSWER_WORD_COUNT;
+    buffer_printf(out, " %s", answer_words[word]);
 }
 
-void answer_whole(const json_t *messages, uint64_t max_tokens, bool exact, struct buffer *out)
+void answer_generate(const json_t *messages, uint64_t max_tokens, bool exact, struct buffer *out)
 {
     uint64_t hash = 0;
     for (size_t i = 0; i < json_array_size(messages); i++) {
-        hash = answer_chain(hash, json_array_get(messages, i));
+        hash = answer_extend_hash(hash, json_array_get(messages, i));
     }
     uint64_t length = answer_length(hash, max_tokens, exact);
     for (uint64_t i = 0; i < length; i++) {
@@ -85,7 +85,6 @@
     }
 }
 
-/* Whether `message`, an answer, is the one to the prompt of `hash`. */
 static bool answer_matches(const json_t *message, uint64_t hash, uint64_t max_tokens)
 {
     struct buffer expected = {0};
@@ -93,7 +92,7 @@
     for (uint64_t i = 0; i < length; i++) {
         answer_token(hash, i, &expected);
     }
-    char *content = answer_content(message);
+    char *content = answer_copy_content(message);
     bool matches = strcmp(content, buffer_text(&expected)) == 0;
     free(content);
     buffer_close(&expected);
@@ -113,7 +112,7 @@
                 return i + 1;
             }
         }
-        hash = answer_chain(hash, message);
+        hash = answer_extend_hash(hash, message);
     }
     return 0;
 }
--- a/src/emulator/emulator.c
+++ b/src/emulator/emulator.c
@@ -7,13 +7,13 @@
 #include "net/http.h"
 #include "net/json_input.h"
 
-enum { EMULATOR_MAX_BODY = 64 << 20, EMULATOR_NUMBER_MAX = 16 };
+enum { EMULATOR_MAX_BODY_BYTES = 64 << 20, EMULATOR_NUMBER_SIZE = 16 };
 
 json_t *emulator_read_json(struct mg_connection *connection)
 {
     struct buffer body = {0};
     json_t *root = NULL;
-    if (http_read_body(connection, EMULATOR_MAX_BODY, &body) == HTTP_BODY_OK) {
+    if (http_read_body(connection, EMULATOR_MAX_BODY_BYTES, &body) == HTTP_BODY_OK) {
         root = json_input_parse(buffer_view(&body), NULL);
     }
     buffer_close(&body);
@@ -33,9 +33,9 @@
     json_decref(body);
 }
 
-void emulator_send_error(struct mg_connection *connection, int status, const char *text)
+void emulator_send_error(struct mg_connection *connection, int status, const char *message)
 {
-    emulator_send_json(connection, status, json_pack("{s:{s:s}}", "error", "message", text));
+    emulator_send_json(connection, status, json_pack("{s:{s:s}}", "error", "message", message));
 }
 
 bool emulator_parse_path(const char *path, const char *prefix, uint32_t count, uint32_t *number, const char **rest)
@@ -51,7 +51,7 @@
     return value < count;
 }
 
-static void emulator_close_lists(struct emulator *emulator)
+static void emulator_free_lists(struct emulator *emulator)
 {
     struct old_program *program;
     struct old_program *next_program;
@@ -85,7 +85,7 @@
 
 static bool emulator_start_server(struct emulator *emulator)
 {
-    char threads[EMULATOR_NUMBER_MAX];
+    char threads[EMULATOR_NUMBER_SIZE];
     snprintf(threads, sizeof(threads), "%u", emulator->config.threads);
     const char *options[] = {"listening_ports",
                              emulator->config.listen,
@@ -156,7 +156,7 @@
     for (uint32_t i = 0; i < emulator->config.engine_count; i++) {
         engine_stop(&emulator->engines[i]);
     }
-    emulator_close_lists(emulator);
+    emulator_free_lists(emulator);
     free(emulator->engines);
     free(emulator->backends);
     pthread_mutex_destroy(&emulator->lock);
--- a/src/emulator/engine.c
+++ b/src/emulator/engine.c
@@ -6,7 +6,7 @@
 
 /* ---- Steps -------------------------------------------------------------------- */
 
-static struct engine_sequence *engine_best_waiting(struct engine *engine)
+static struct engine_sequence *engine_next_waiting(struct engine *engine)
 {
     struct engine_sequence *best = NULL;
     for (struct engine_sequence *s = engine->sequences; s != NULL; s = s->next) {
@@ -20,14 +20,14 @@
 static void engine_fill_batch(struct engine *engine)
 {
     while (engine->running < engine->config.slots && engine->waiting > 0) {
-        struct engine_sequence *next = engine_best_waiting(engine);
+        struct engine_sequence *next = engine_next_waiting(engine);
         next->running = true;
         engine->running++;
         engine->waiting--;
     }
 }
 
-/* One step: prompts share the prefill tokens, the others gain a token each. */
+/* Sequences in their prefill share the prefill tokens of a step; each of the others generates one token. */
 static void engine_step(struct engine *engine)
 {
     uint64_t prefill = engine->config.prefill_tokens;
@@ -36,9 +36,9 @@
         if (!s->running) {
             continue;
         }
-        if (s->prefill_left > 0) {
-            uint64_t done = s->prefill_left < prefill ? s->prefill_left : prefill;
-            s->prefill_left -= done;
+        if (s->prefill_remaining > 0) {
+            uint64_t done = s->prefill_remaining < prefill ? s->prefill_remaining : prefill;
+            s->prefill_remaining -= done;
             prefill -= done;
         } else if (s->produced < s->length) {
             s->produced++;
@@ -100,11 +100,11 @@
 void engine_remove(struct engine *engine, struct engine_sequence *sequence, bool finished)
 {
     pthread_mutex_lock(&engine->lock);
-    struct engine_sequence **place = &engine->sequences;
-    while (*place != sequence) {
-        place = &(*place)->next;
+    struct engine_sequence **link = &engine->sequences;
+    while (*link != sequence) {
+        link = &(*link)->next;
     }
-    *place = sequence->next;
+    *link = sequence->next;
     engine->running -= sequence->running ? 1 : 0;
     engine->waiting -= sequence->running ? 0 : 1;
     engine->counters.completion_tokens += sequence->produced;
@@ -127,7 +127,7 @@
 
 /* ---- Faults ------------------------------------------------------------------------- */
 
-enum engine_fault engine_take_fault(struct engine *engine, uint64_t *amount)
+enum engine_fault engine_consume_fault(struct engine *engine, uint64_t *amount)
 {
     pthread_mutex_lock(&engine->lock);
     enum engine_fault fault = engine->fault;
--- a/src/emulator/engine_api.c
+++ b/src/emulator/engine_api.c
@@ -1,4 +1,4 @@
-/* The OpenAI-compatible interface of emulated engines. */
+/* OpenAI-compatible HTTP interface of the emulated engines. */
 #include <inttypes.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -9,11 +9,10 @@
 #include "emulator/emulator.h"
 #include "net/http.h"
 
-enum { API_HANDLED = 200, API_DEFAULT_MAX_TOKENS = 256, API_HANG_STEP_US = 20000, API_HANG_MAX_US = 60000000 };
+enum { API_HANDLED = 200, API_DEFAULT_MAX_TOKENS = 256, API_HANG_POLL_US = 20000, API_HANG_MAX_US = 60000000 };
 
 static const char API_CACHE_PATH[] = "/v1/cache";
 
-/* A request being served. */
 struct engine_request {
     struct engine *engine;
     struct mg_connection *connection;
@@ -81,13 +80,12 @@
     }
 }
 
-/* Whether the answer must be cut after `produced` tokens. */
-static bool request_is_cut(const struct engine_request *request, uint64_t produced)
+static bool request_is_truncated(const struct engine_request *request, uint64_t produced)
 {
-    return request->fault == ENGINE_FAULT_CUT && produced >= request->fault_amount;
+    return request->fault == ENGINE_FAULT_TRUNCATE && produced >= request->fault_amount;
 }
 
-/* Sends tokens as they are made; false: cut or the caller left. */
+/* False if the answer was truncated, the caller disconnected or the engine is stopping. */
 static bool request_stream_tokens(struct engine_request *request)
 {
     uint64_t sent = 0;
@@ -96,7 +94,7 @@
     }
     while (sent < request->sequence.length) {
         uint64_t produced = engine_wait(request->engine, &request->sequence, sent);
-        if (produced == sent || request_is_cut(request, sent)) {
+        if (produced == sent || request_is_truncated(request, sent)) {
             return false;
         }
         struct buffer text = {0};
@@ -129,12 +127,12 @@
     return true;
 }
 
-static bool request_answer_whole(struct engine_request *request, uint64_t max_tokens)
+static bool request_answer_unstreamed(struct engine_request *request, uint64_t max_tokens)
 {
     uint64_t produced = 0;
     while (produced < request->sequence.length) {
         uint64_t now = engine_wait(request->engine, &request->sequence, produced);
-        if (now == produced || request_is_cut(request, produced)) {
+        if (now == produced || request_is_truncated(request, produced)) {
             return false;
         }
         produced = now;
@@ -154,7 +152,7 @@
     return true;
 }
 
-static void request_keep(struct engine_request *request)
+static void request_cache_prompt(struct engine_request *request)
 {
     struct buffer text = {0};
     request_append_tokens(request, 0, request->sequence.length, &text);
@@ -171,7 +169,7 @@
     struct engine *engine = request->engine;
     for (size_t i = 0; i < json_array_size(request->messages); i++) {
         const json_t *message = json_array_get(request->messages, i);
-        request->hash = answer_chain(request->hash, message);
+        request->hash = answer_extend_hash(request->hash, message);
         request->prompt_tokens += answer_message_tokens(message);
     }
     bool exact = json_is_true(json_object_get(request->body, "ignore_eos"));
@@ -183,10 +181,10 @@
              "X-Engine-Running: %u\r\nX-Engine-Waiting: %u\r\nX-Engine-Slots: %u\r\n", engine->running, engine->waiting,
              engine->config.slots);
     pthread_mutex_unlock(&engine->lock);
-    request->sequence.prefill_left = request->prompt_tokens - request->cached_tokens;
+    request->sequence.prefill_remaining = request->prompt_tokens - request->cached_tokens;
     request->sequence.length = answer_length(request->hash, max_tokens, exact);
     request->sequence.priority = json_integer_value(json_object_get(request->body, "priority"));
-    if (request->fault == ENGINE_FAULT_CROSSED) {
+    if (request->fault == ENGINE_FAULT_WRONG_ANSWER) {
         snprintf(request->id, sizeof(request->id), "chatcmpl-of-another-request");
         request->hash = ~request->hash;
     }
@@ -194,13 +192,13 @@
 
 static void request_hang(const struct engine_request *request)
 {
-    for (uint64_t waited = 0; waited < API_HANG_MAX_US && !request->engine->stopping; waited += API_HANG_STEP_US) {
-        clock_sleep_us(API_HANG_STEP_US);
+    for (uint64_t waited = 0; waited < API_HANG_MAX_US && !request->engine->stopping; waited += API_HANG_POLL_US) {
+        clock_sleep_us(API_HANG_POLL_US);
     }
 }
 
-/* Faults that keep the request from running; true: it is dealt with. */
-static bool request_fails_early(struct engine_request *request)
+/* Returns true if the fault prevents the request from running; it is then finished. */
+static bool request_apply_fault_before_run(struct engine_request *request)
 {
     if (request->fault == ENGINE_FAULT_REFUSE) {
         http_send(request->connection, 503, "application/json", "X-Draining: true\r\n",
@@ -210,14 +208,14 @@
     if (request->fault == ENGINE_FAULT_HANG) {
         request_hang(request);
     }
-    bool cut = request->fault == ENGINE_FAULT_DIE || request->fault == ENGINE_FAULT_HANG;
-    if (cut) {
+    bool unanswered = request->fault == ENGINE_FAULT_DIE || request->fault == ENGINE_FAULT_HANG;
+    if (unanswered) {
         mg_disable_connection_keep_alive(request->connection);
     }
-    return cut;
+    return unanswered;
 }
 
-static void request_serve(struct engine_request *request)
+static void request_run(struct engine_request *request)
 {
     const json_t *limit = json_object_get(request->body, "max_tokens");
     uint64_t max_tokens = json_is_integer(limit) ? (uint64_t)json_integer_value(limit) : API_DEFAULT_MAX_TOKENS;
@@ -226,24 +224,24 @@
         return;
     }
     request_prepare(request, max_tokens);
-    if (request->fault == ENGINE_FAULT_LATE) {
+    if (request->fault == ENGINE_FAULT_DELAY) {
         clock_sleep_us(request->fault_amount * 1000U);
     }
     engine_add(request->engine, &request->sequence);
     bool answered =
-        request->stream ? request_answer_stream(request, max_tokens) : request_answer_whole(request, max_tokens);
+        request->stream ? request_answer_stream(request, max_tokens) : request_answer_unstreamed(request, max_tokens);
     engine_remove(request->engine, &request->sequence, answered);
     if (answered) {
-        request_keep(request);
+        request_cache_prompt(request);
     } else {
         mg_disable_connection_keep_alive(request->connection);
     }
 }
 
-static void engine_chat(struct engine *engine, struct mg_connection *connection)
+static void engine_complete_chat(struct engine *engine, struct mg_connection *connection)
 {
     struct engine_request *request = memory_new(sizeof(*request));
-    const char *given = mg_get_header(connection, "X-Request-Id");
+    const char *request_id = mg_get_header(connection, "X-Request-Id");
     request->engine = engine;
     request->connection = connection;
     request->body = emulator_read_json(connection);
@@ -251,10 +249,10 @@
         request->messages = json_object_get(request->body, "messages");
         request->stream = json_is_true(json_object_get(request->body, "stream"));
         request->program = mg_get_header(connection, "X-Program-Id");
-        request->fault = engine_take_fault(engine, &request->fault_amount);
-        snprintf(request->id, sizeof(request->id), "chatcmpl-%s", given == NULL ? "none" : given);
-        if (!request_fails_early(request)) {
-            request_serve(request);
+        request->fault = engine_consume_fault(engine, &request->fault_amount);
+        snprintf(request->id, sizeof(request->id), "chatcmpl-%s", request_id == NULL ? "none" : request_id);
+        if (!request_apply_fault_before_run(request)) {
+            request_run(request);
         }
     }
     json_decref(request->body);
@@ -304,7 +302,7 @@
         return API_HANDLED;
     }
     if (strcmp(rest, "/v1/chat/completions") == 0) {
-        engine_chat(engine, connection);
+        engine_complete_chat(engine, connection);
     } else if (strcmp(rest, API_CACHE_PATH) == 0) {
         engine_list_cache(engine, connection);
     } else if (strncmp(rest, API_CACHE_PATH, cache_length) == 0 && strcmp(info->request_method, "DELETE") == 0) {
--- a/src/emulator/prefix_cache.c
+++ b/src/emulator/prefix_cache.c
@@ -14,7 +14,7 @@
     free(entry);
 }
 
-/* Moves an entry to the end of the eviction order. */
+/* Makes the entry the last to be evicted: uthash iterates in order of insertion. */
 static void prefix_cache_touch(struct prefix_cache *cache, struct prefix_entry *entry)
 {
     HASH_DEL(cache->entries, entry);
@@ -33,7 +33,7 @@
     uint64_t hash = 0;
     uint64_t tokens = 0;
     for (size_t i = 0; i < json_array_size(messages); i++) {
-        hash = answer_chain(hash, json_array_get(messages, i));
+        hash = answer_extend_hash(hash, json_array_get(messages, i));
         struct prefix_entry *entry = prefix_cache_find(cache, hash);
         if (entry == NULL) {
             break;
@@ -71,10 +71,10 @@
     uint64_t hash = 0;
     for (size_t i = 0; i < json_array_size(messages); i++) {
         const json_t *message = json_array_get(messages, i);
-        hash = answer_chain(hash, message);
+        hash = answer_extend_hash(hash, message);
         prefix_cache_add(cache, hash, answer_message_tokens(message), program);
     }
-    prefix_cache_add(cache, answer_chain(hash, answer), answer_message_tokens(answer), program);
+    prefix_cache_add(cache, answer_extend_hash(hash, answer), answer_message_tokens(answer), program);
 }
 
 uint64_t prefix_cache_release(struct prefix_cache *cache, const char *program)
--- a/src/emulator/site_api.c
+++ b/src/emulator/site_api.c
@@ -1,4 +1,4 @@
-/* Plain back ends, the machine list, the old site, and the control interface. */
+/* HTTP interfaces of the plain back ends, the machine list and the old site, and the emulator's control interface. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -9,11 +9,11 @@
 #include "emulator/emulator.h"
 #include "net/http.h"
 
-enum { SITE_HANDLED = 200, SITE_MAX_BODY = 16 << 20 };
+enum { API_HANDLED = 200, API_MAX_BODY_BYTES = 16 << 20 };
 
 /* ---- Plain back ends --------------------------------------------------------------- */
 
-static uint64_t backend_note_run(struct emulator *emulator, struct backend *backend, const char *key)
+static uint64_t backend_record_run(struct emulator *emulator, struct backend *backend, const char *key)
 {
     uint64_t count = 1;
     pthread_mutex_lock(&emulator->lock);
@@ -40,23 +40,23 @@
     const char *rest = NULL;
     if (!emulator_parse_path(info->local_uri, "/backends/", emulator->config.backend_count, &number, &rest)) {
         emulator_send_error(connection, 404, "no such back end");
-        return SITE_HANDLED;
+        return API_HANDLED;
     }
     struct backend *backend = &emulator->backends[number];
     if (backend->dead) {
         mg_disable_connection_keep_alive(connection);
-        return SITE_HANDLED;
+        return API_HANDLED;
     }
     if (backend->draining) {
         http_send(connection, 503, "application/json", "X-Draining: true\r\n",
                   view_of_string("{\"error\":{\"message\":\"draining\"}}"));
-        return SITE_HANDLED;
+        return API_HANDLED;
     }
     struct buffer body = {0};
     if (info->content_length > 0) {
-        http_read_body(connection, SITE_MAX_BODY, &body);
+        http_read_body(connection, API_MAX_BODY_BYTES, &body);
     }
-    uint64_t run = backend_note_run(emulator, backend, mg_get_header(connection, "X-Request-Key"));
+    uint64_t run = backend_record_run(emulator, backend, mg_get_header(connection, "X-Request-Key"));
     clock_sleep_us(backend->delay_us);
     char hash[32];
     snprintf(hash, sizeof(hash), "%016llx", (unsigned long long)XXH64(body.data, body.length, 0));
@@ -64,7 +64,7 @@
                        json_pack("{s:i,s:s,s:s,s:s,s:I}", "backend", (int)number, "method", info->request_method,
                                  "path", rest, "body_hash", hash, "run", (json_int_t)run));
     buffer_close(&body);
-    return SITE_HANDLED;
+    return API_HANDLED;
 }
 
 /* ---- Machine list -------------------------------------------------------------------- */
@@ -94,7 +94,7 @@
     }
     pthread_mutex_unlock(&emulator->lock);
     emulator_send_json(connection, 200, json_pack("{s:o}", "machines", list));
-    return SITE_HANDLED;
+    return API_HANDLED;
 }
 
 /* ---- Old site -------------------------------------------------------------------------- */
@@ -107,6 +107,7 @@
     return program;
 }
 
+/* Adds a program or replaces its state. Call with the lock held. */
 static void old_site_add(struct emulator *emulator, json_t *export)
 {
     const char *id = text_or_empty(json_string_value(json_object_get(export, "program_id")));
@@ -122,16 +123,17 @@
     program->committed = false;
 }
 
-/* One step of a hand-over; returns the HTTP status and sets the answer. */
-static int old_site_step(struct emulator *emulator, const char *id, const char *step, uint64_t epoch, json_t **answer)
+/* Runs prepare, commit or abort; returns the HTTP status, and sets `answer` if it is 200. Call with the lock held. */
+static int old_site_run_step(struct emulator *emulator, const char *id, const char *step, uint64_t epoch,
+                             json_t **answer)
 {
     struct old_program *program = old_site_find(emulator, id);
     if (program == NULL) {
         return 404;
     }
     if (strcmp(step, "prepare") == 0) {
-        bool again = program->committed && epoch == program->epoch;
-        if (!again && (program->committed || epoch < program->epoch)) {
+        bool repeated = program->committed && epoch == program->epoch;
+        if (!repeated && (program->committed || epoch < program->epoch)) {
             return 409;
         }
         program->epoch = epoch;
@@ -159,11 +161,11 @@
     const struct mg_request_info *info = mg_get_request_info(connection);
     if (strncmp(info->local_uri, prefix, sizeof(prefix) - 1) != 0) {
         emulator_send_error(connection, 404, "no such path");
-        return SITE_HANDLED;
+        return API_HANDLED;
     }
     json_t *body = emulator_read_json(connection);
     if (body == NULL) {
-        return SITE_HANDLED;
+        return API_HANDLED;
     }
     const char *rest = info->local_uri + sizeof(prefix) - 1;
     json_t *answer = NULL;
@@ -179,7 +181,7 @@
         uint64_t epoch = (uint64_t)json_integer_value(json_object_get(body, "epoch"));
         if (slash != NULL) {
             *slash = '\0';
-            status = old_site_step(emulator, id, slash + 1, epoch, &answer);
+            status = old_site_run_step(emulator, id, slash + 1, epoch, &answer);
         }
         free(id);
     }
@@ -190,7 +192,7 @@
     } else {
         emulator_send_error(connection, status, "the step is not possible");
     }
-    return SITE_HANDLED;
+    return API_HANDLED;
 }
 
 /* ---- Control ------------------------------------------------------------------------------ */
@@ -274,11 +276,11 @@
     const char *path = mg_get_request_info(connection)->local_uri;
     if (strcmp(path, "/control/stats") == 0) {
         control_send_stats(emulator, connection);
-        return SITE_HANDLED;
+        return API_HANDLED;
     }
     json_t *body = emulator_read_json(connection);
     if (body == NULL) {
-        return SITE_HANDLED;
+        return API_HANDLED;
     }
     const char *address = json_string_value(json_object_get(body, "address"));
     const char *state = json_string_value(json_object_get(body, "state"));
@@ -293,5 +295,5 @@
         emulator_send_error(connection, 404, "no such control");
     }
     json_decref(body);
-    return SITE_HANDLED;
+    return API_HANDLED;
 }
--- a/src/measure/samples.c
+++ b/src/measure/samples.c
@@ -6,7 +6,7 @@
 #include "base/buffer.h"
 #include "measure/samples.h"
 
-enum { SAMPLES_FIRST_CAPACITY = 1024 };
+enum { SAMPLES_INITIAL_CAPACITY = 1024 };
 
 void samples_init(struct samples *samples)
 {
@@ -24,7 +24,7 @@
 {
     pthread_mutex_lock(&samples->lock);
     if (samples->count == samples->capacity) {
-        samples->capacity = samples->capacity == 0 ? SAMPLES_FIRST_CAPACITY : samples->capacity * 2;
+        samples->capacity = samples->capacity == 0 ? SAMPLES_INITIAL_CAPACITY : samples->capacity * 2;
         samples->values = memory_resize(samples->values, samples->capacity * sizeof(*samples->values));
     }
     samples->values[samples->count++] = value;
@@ -42,7 +42,7 @@
     summary.p50 = gsl_stats_quantile_from_sorted_data(samples->values, 1, samples->count, 0.50);
     summary.p95 = gsl_stats_quantile_from_sorted_data(samples->values, 1, samples->count, 0.95);
     summary.p99 = gsl_stats_quantile_from_sorted_data(samples->values, 1, samples->count, 0.99);
-    summary.most = samples->values[samples->count - 1];
+    summary.max = samples->values[samples->count - 1];
     return summary;
 }
 
@@ -50,5 +50,5 @@
 {
     struct samples_summary summary = samples_summarise(samples);
     return json_pack("{s:I,s:f,s:f,s:f,s:f,s:f}", "count", (json_int_t)summary.count, "mean", summary.mean, "p50",
-                     summary.p50, "p95", summary.p95, "p99", summary.p99, "max", summary.most);
+                     summary.p50, "p95", summary.p95, "p99", summary.p99, "max", summary.max);
 }
--- a/src/measure/samples.h
+++ b/src/measure/samples.h
@@ -1,6 +1,6 @@
 /**
  * @file samples.h
- * Lists of measurements and their quantiles (GSL).
+ * Lists of measurements and their quantiles, computed with GSL.
  */
 #ifndef BANKBANK_MEASURE_SAMPLES_H
 #define BANKBANK_MEASURE_SAMPLES_H
@@ -10,37 +10,35 @@
 
 #include <jansson.h>
 
-/** A growing list of measurements; safe for several threads. */
+/** A growing list of measurements. */
 struct samples {
-    pthread_mutex_t lock; /**< Guards the rest. */
-    double *values;       /**< Measurements, in ms unless said otherwise. */
-    size_t count;         /**< Measurements. */
-    size_t capacity;      /**< Room. */
+    pthread_mutex_t lock; /**< Guards all other members while measurements are added. */
+    double *values;
+    size_t count;
+    size_t capacity; /**< Allocated elements. */
 };
 
-/** What is known of a distribution. */
 struct samples_summary {
-    size_t count; /**< Measurements. */
-    double mean;  /**< Mean. */
-    double p50;   /**< Median. */
-    double p95;   /**< 95 in 100 are at most this. */
-    double p99;   /**< 99 in 100 are at most this. */
-    double most;  /**< Largest. */
+    size_t count;
+    double mean;
+    double p50;
+    double p95;
+    double p99;
+    double max;
 };
 
-/** Starts an empty list. */
 void samples_init(struct samples *samples);
 
-/** Frees it. */
 void samples_close(struct samples *samples);
 
-/** Adds a measurement. */
+/** Adds a measurement; safe to call from several threads. */
 void samples_add(struct samples *samples, double value);
 
-/** Sorts the values and summarises them. */
+/** Sorts the list in place and summarises it; no other thread may use it meanwhile. */
 struct samples_summary samples_summarise(struct samples *samples);
 
-/** The summary as a JSON object. */
+/** Sorts the list in place and returns its summary as a JSON object, which the caller owns; no other thread may use the
+ * list meanwhile. */
 json_t *samples_report(struct samples *samples);
 
 #endif
--- a/src/measure/scrape.c
+++ b/src/measure/scrape.c
@@ -7,7 +7,7 @@
 
 enum { SCRAPE_TIMEOUT_MS = 2000 };
 
-static bool scrape_append(void *context, int status, struct view data)
+static bool scrape_append_body(void *context, int status, struct view data)
 {
     (void)status;
     buffer_append(context, data.data, data.length);
@@ -25,7 +25,7 @@
         .timeout_ms = SCRAPE_TIMEOUT_MS,
         .connect_timeout_ms = SCRAPE_TIMEOUT_MS,
         .context = page,
-        .on_data = scrape_append,
+        .on_data = scrape_append_body,
     };
     http_client_run(&request, &status);
     buffer_close(&url);
@@ -35,8 +35,8 @@
 {
     struct buffer line = {0};
     buffer_printf(&line, "\n%s ", name);
-    const char *found = strstr(buffer_text(page), buffer_text(&line));
-    double value = found == NULL ? 0 : strtod(found + line.length, NULL);
+    const char *match = strstr(buffer_text(page), buffer_text(&line));
+    double value = match == NULL ? 0 : strtod(match + line.length, NULL);
     buffer_close(&line);
     return value;
 }
--- a/src/net/address.h
+++ b/src/net/address.h
@@ -1,6 +1,6 @@
 /**
  * @file address.h
- * IPv4 endpoints in the form IP:PORT.
+ * IPv4 socket addresses written as IP:PORT.
  */
 #ifndef BANKBANK_NET_ADDRESS_H
 #define BANKBANK_NET_ADDRESS_H
@@ -9,14 +9,13 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** An endpoint. */
 struct address {
-    struct sockaddr_in socket; /**< Form the system calls take. */
-    char ip[INET_ADDRSTRLEN];  /**< IP in text form. */
-    uint16_t port;             /**< Port in host order. */
+    struct sockaddr_in socket;
+    char ip[INET_ADDRSTRLEN];
+    uint16_t port; /**< In host byte order. */
 };
 
-/** Reads "IP:PORT"; false if it is malformed. */
+/** Parses "IP:PORT"; returns false if it is malformed. */
 bool address_parse(const char *text, struct address *address);
 
 #endif
--- a/src/net/event_stream.c
+++ b/src/net/event_stream.c
@@ -46,7 +46,7 @@
     event->data = buffer_view(&stream->data);
 }
 
-/* Bytes up to and with the empty line that ends the first event; 0: it is not whole. */
+/* Length of the first event including its empty line; 0 if it is incomplete. */
 static size_t event_length(const struct event_stream *stream, size_t from)
 {
     const struct buffer *pending = &stream->pending;
@@ -71,13 +71,13 @@
     while (stream->pending.length > 0) {
         size_t length = event_length(stream, stream->scanned);
         if (length == 0) {
-            /* An end may begin with the last three bytes. */
+            /* The end of the event may begin within the last three bytes. */
             stream->scanned = stream->pending.length > 3 ? stream->pending.length - 3 : 0;
-            return stream->pending.length <= EVENT_STREAM_MAX_EVENT;
+            return stream->pending.length <= EVENT_STREAM_MAX_EVENT_BYTES;
         }
-        struct event_stream_event whole;
-        event_read(stream, view_of(stream->pending.data, length), &whole);
-        if (!event(context, &whole)) {
+        struct event_stream_event complete_event;
+        event_read(stream, view_of(stream->pending.data, length), &complete_event);
+        if (!event(context, &complete_event)) {
             return false;
         }
         buffer_consume(&stream->pending, length);
@@ -86,7 +86,7 @@
     return true;
 }
 
-bool event_stream_is_inside(const struct event_stream *stream)
+bool event_stream_has_partial(const struct event_stream *stream)
 {
     return stream->pending.length > 0;
 }
--- a/src/net/event_stream.h
+++ b/src/net/event_stream.h
@@ -1,7 +1,7 @@
 /**
  * @file event_stream.h
- * Splits a stream of server-sent events into whole events, so that a proxy
- * passes on nothing but whole ones, and knows their ids and data.
+ * Incremental parser of server-sent events, for a proxy that forwards only
+ * complete events.
  */
 #ifndef BANKBANK_NET_EVENT_STREAM_H
 #define BANKBANK_NET_EVENT_STREAM_H
@@ -10,32 +10,30 @@
 
 #include "base/buffer.h"
 
-enum { EVENT_STREAM_MAX_EVENT = 4 << 20 /**< Largest event, in bytes. */ };
+enum { EVENT_STREAM_MAX_EVENT_BYTES = 4 << 20 };
 
-/** One event; views into the parser. */
+/** One event; its views are valid during the callback. */
 struct event_stream_event {
-    struct view raw;  /**< The whole event with its empty line. */
-    bool has_id;      /**< It has an id line. */
-    struct view id;   /**< Its id. */
-    bool has_data;    /**< It has a data line. */
-    struct view data; /**< Its data lines joined by line feeds. */
+    struct view raw; /**< All bytes, including the empty line at the end. */
+    bool has_id;
+    struct view id;
+    bool has_data;
+    struct view data; /**< Data lines joined by line feeds. */
 };
 
-/** A parser; all zero is its start. */
+/** Parser state; initially all zero. */
 struct event_stream {
-    struct buffer pending; /**< The unfinished event. */
-    struct buffer data;    /**< Joined data lines. */
-    size_t scanned;        /**< Bytes of `pending` known to hold no end. */
+    struct buffer pending; /**< Bytes not yet passed on as an event. */
+    struct buffer data;    /**< Joined data lines of the current event. */
+    size_t scanned;        /**< Bytes of `pending` already searched for the end of the event. */
 };
 
-/** Feeds bytes; `event` is called for each whole event. False: `event` returned false, or an event is too large. */
+/** Parses `bytes` and calls `event` for each complete event. Returns false if `event` did, or an event is too large. */
 bool event_stream_feed(struct event_stream *stream, struct view bytes,
                        bool (*event)(void *context, const struct event_stream_event *event), void *context);
 
-/** Whether a part of an event is pending. */
-bool event_stream_is_inside(const struct event_stream *stream);
+bool event_stream_has_partial(const struct event_stream *stream);
 
-/** Frees the parser. */
 void event_stream_close(struct event_stream *stream);
 
 #endif
--- a/src/net/http.c
+++ b/src/net/http.c
@@ -27,26 +27,26 @@
 {
     const struct mg_request_info *info = mg_get_request_info(connection);
     const char *encoding = mg_get_header(connection, "Transfer-Encoding");
-    bool announced = info->content_length >= 0;
-    if (!announced && encoding == NULL) {
+    bool has_length = info->content_length >= 0;
+    if (!has_length && encoding == NULL) {
         return HTTP_BODY_NO_LENGTH;
     }
-    if (announced && (unsigned long long)info->content_length > limit) {
+    if (has_length && (unsigned long long)info->content_length > limit) {
         return HTTP_BODY_TOO_LARGE;
     }
-    size_t expected = announced ? (size_t)info->content_length : limit + 1;
+    size_t expected = has_length ? (size_t)info->content_length : limit + 1;
     while (body->length < expected) {
         size_t step = expected - body->length < HTTP_READ_STEP ? expected - body->length : HTTP_READ_STEP;
-        int got = mg_read(connection, buffer_reserve(body, step), step);
-        if (got <= 0) {
+        int received = mg_read(connection, buffer_reserve(body, step), step);
+        if (received <= 0) {
             break;
         }
-        body->length += (size_t)got;
+        body->length += (size_t)received;
     }
-    if (!announced && body->length > limit) {
+    if (!has_length && body->length > limit) {
         return HTTP_BODY_TOO_LARGE;
     }
-    return announced && body->length < expected ? HTTP_BODY_CUT : HTTP_BODY_OK;
+    return has_length && body->length < expected ? HTTP_BODY_TRUNCATED : HTTP_BODY_OK;
 }
 
 void http_send_body_error(struct mg_connection *connection, enum http_body_result result, size_t limit)
@@ -65,19 +65,19 @@
         break;
     default: http_send_error(connection, &error, "the body ended before its announced length"); break;
     }
-    /* What is left of the body must not be read as the next request. */
+    /* The rest of the body must not be parsed as the next request. */
     mg_disable_connection_keep_alive(connection);
 }
 
 void http_send(struct mg_connection *connection, int status, const char *content_type, const char *headers,
                struct view body)
 {
-    struct buffer answer = {0};
-    buffer_printf(&answer, "HTTP/1.1 %d %s\r\nContent-Type: %s\r\nContent-Length: %zu\r\n%s\r\n", status,
+    struct buffer response = {0};
+    buffer_printf(&response, "HTTP/1.1 %d %s\r\nContent-Type: %s\r\nContent-Length: %zu\r\n%s\r\n", status,
                   mg_get_response_code_text(connection, status), content_type, body.length, text_or_empty(headers));
-    buffer_append(&answer, body.data, body.length);
-    mg_write(connection, answer.data, answer.length);
-    buffer_close(&answer);
+    buffer_append(&response, body.data, body.length);
+    mg_write(connection, response.data, response.length);
+    buffer_close(&response);
 }
 
 void http_error_body(const struct http_error *error, const char *message, struct buffer *out)
@@ -145,9 +145,10 @@
 
 int http_on_server_error(struct mg_connection *connection, int status, const char *message)
 {
-    /* CivetWeb answers an unreadable Content-Length with 411; it is malformed, not missing. */
-    int told = status == HTTP_LENGTH_REQUIRED ? HTTP_BAD_REQUEST : status;
-    struct http_error error = {told, told == 404 ? "not_found" : "bad_request", RUN_STATE_NOT_RUN, 0};
+    /* CivetWeb reports a malformed Content-Length as 411 (Length Required). */
+    int reported_status = status == HTTP_LENGTH_REQUIRED ? HTTP_BAD_REQUEST : status;
+    struct http_error error = {reported_status, reported_status == 404 ? "not_found" : "bad_request", RUN_STATE_NOT_RUN,
+                               0};
     http_send_error(connection, &error, "%s", text_or_empty(message)[0] == '\0' ? "request refused" : message);
     mg_disable_connection_keep_alive(connection);
     return 0;
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -1,8 +1,8 @@
 /**
  * @file http.h
- * Server side of HTTP on CivetWeb: reading requests and writing answers and
- * typed errors. Every error is OpenAI's JSON error body and tells in the
- * header X-Run-State what is known of the request.
+ * Reads request bodies and writes responses in handlers of a CivetWeb server. The
+ * body of an error response is JSON in OpenAI's format; its header X-Run-State says
+ * whether the request was executed.
  */
 #ifndef BANKBANK_NET_HTTP_H
 #define BANKBANK_NET_HTTP_H
@@ -13,62 +13,58 @@
 
 #include "base/buffer.h"
 
-/** What is known about the execution of a request. */
+/** What is known about the execution of a request (X-Run-State). */
 enum run_state {
-    RUN_STATE_NOT_RUN, /**< It did not run and will not. */
-    RUN_STATE_UNKNOWN, /**< It may have run. */
-    RUN_STATE_RUN      /**< It ran. */
+    RUN_STATE_NOT_RUN, /**< It was not executed and will not be. */
+    RUN_STATE_UNKNOWN, /**< It may have been executed. */
+    RUN_STATE_RUN      /**< It was executed. */
 };
 
-/** Outcome of reading a request body. */
 enum http_body_result {
-    HTTP_BODY_OK,        /**< Whole. */
-    HTTP_BODY_CUT,       /**< The connection ended before the announced length. */
-    HTTP_BODY_TOO_LARGE, /**< Larger than the limit. */
-    HTTP_BODY_NO_LENGTH  /**< Neither Content-Length nor chunked. */
+    HTTP_BODY_OK,
+    HTTP_BODY_TRUNCATED, /**< The connection ended before Content-Length bytes were read. */
+    HTTP_BODY_TOO_LARGE,
+    HTTP_BODY_NO_LENGTH /**< Neither Content-Length nor chunked. */
 };
 
-/** A typed error. */
 struct http_error {
-    int status;               /**< HTTP status. */
-    const char *code;         /**< Machine-readable code. */
-    enum run_state run_state; /**< What is known of the request. */
-    int retry_after_s;        /**< 0: no Retry-After header. */
+    int status;
+    const char *code; /**< Machine-readable. */
+    enum run_state run_state;
+    int retry_after_s; /**< 0: no Retry-After header. */
 };
 
-/** Header text of a run state. */
+/** Value of X-Run-State. */
 const char *http_run_state_name(enum run_state state);
 
-/** Reads the body, at most `limit` bytes. */
+/** Reads the body; returns HTTP_BODY_TOO_LARGE if it exceeds `limit` bytes. */
 enum http_body_result http_read_body(struct mg_connection *connection, size_t limit, struct buffer *body);
 
-/** Answers a body that could not be read. */
+/** Sends the error response for a body that could not be read. */
 void http_send_body_error(struct mg_connection *connection, enum http_body_result result, size_t limit);
 
-/** Sends a whole answer; `headers` are further header lines, each ended by CRLF, or NULL. */
+/** Sends a complete response; `headers` are additional header lines, each ending in CRLF, or NULL. */
 void http_send(struct mg_connection *connection, int status, const char *content_type, const char *headers,
                struct view body);
 
-/** Sends an error with a message. */
 void http_send_error(struct mg_connection *connection, const struct http_error *error, const char *format, ...)
     __attribute__((format(printf, 3, 4)));
 
-/** Appends the JSON error body. */
+/** Appends the JSON body of an error to `out`. */
 void http_error_body(const struct http_error *error, const char *message, struct buffer *out);
 
-/** Starts a streamed answer; false: the caller is gone. */
+/** Starts a chunked response; returns false if the client has disconnected. */
 bool http_start_stream(struct mg_connection *connection, const char *content_type, const char *headers);
 
-/** Sends a part of a streamed answer; false: the caller is gone. */
+/** Sends a chunk of the response; returns false if the client has disconnected. */
 bool http_send_chunk(struct mg_connection *connection, struct view data);
 
-/** Ends a streamed answer. */
 void http_end_stream(struct mg_connection *connection);
 
-/** CivetWeb's hook for errors that it answers itself. */
+/** CivetWeb callback for errors that it detects itself. */
 int http_on_server_error(struct mg_connection *connection, int status, const char *message);
 
-/** CivetWeb's hook for its log lines. */
+/** CivetWeb callback for its log messages. */
 int http_on_server_log(const struct mg_connection *connection, const char *message);
 
 #endif
--- a/src/net/http_client.c
+++ b/src/net/http_client.c
@@ -8,14 +8,18 @@
 
 #include <curl/curl.h>
 
-enum { HTTP_CLIENT_POOL = 512, HTTP_CLIENT_CONNECTIONS = 8, HTTP_HEADER_MAX = 1024, HTTP_CLIENT_BUFFER = 8 << 10 };
+enum {
+    HTTP_CLIENT_POOL = 512,
+    HTTP_CLIENT_CONNECTIONS = 8,
+    HTTP_HEADER_MAX = 1024,
+    HTTP_CLIENT_BUFFER_BYTES = 8 << 10
+};
 
-/* Idle handles; the last one used goes out first, its connections are warm. */
+/* Idle handles, guarded by http_pool_lock; a stack, so that open connections are reused. */
 static pthread_mutex_t http_pool_lock = PTHREAD_MUTEX_INITIALIZER;
 static CURL *http_pool[HTTP_CLIENT_POOL];
 static size_t http_pool_count;
 
-/* A transfer under way. */
 struct http_transfer {
     const struct http_request *request;
     CURL *handle;
@@ -37,7 +41,7 @@
     curl_global_cleanup();
 }
 
-static CURL *http_pool_take(void)
+static CURL *http_pool_acquire(void)
 {
     CURL *handle = NULL;
     pthread_mutex_lock(&http_pool_lock);
@@ -48,21 +52,21 @@
     return handle != NULL ? handle : curl_easy_init();
 }
 
-static void http_pool_give(CURL *handle)
+static void http_pool_release(CURL *handle)
 {
     curl_easy_reset(handle);
     pthread_mutex_lock(&http_pool_lock);
-    bool kept = http_pool_count < HTTP_CLIENT_POOL;
-    if (kept) {
+    bool pooled = http_pool_count < HTTP_CLIENT_POOL;
+    if (pooled) {
         http_pool[http_pool_count++] = handle;
     }
     pthread_mutex_unlock(&http_pool_lock);
-    if (!kept) {
+    if (!pooled) {
         curl_easy_cleanup(handle);
     }
 }
 
-void http_request_header(struct http_request *request, const char *format, ...)
+void http_request_add_header(struct http_request *request, const char *format, ...)
 {
     if (request->header_count == HTTP_CLIENT_MAX_HEADERS) {
         return;
@@ -124,13 +128,13 @@
     curl_easy_setopt(handle, CURLOPT_CUSTOMREQUEST, request->method);
     curl_easy_setopt(handle, CURLOPT_NOSIGNAL, 1L);
     curl_easy_setopt(handle, CURLOPT_TCP_NODELAY, 1L);
-    curl_easy_setopt(handle, CURLOPT_BUFFERSIZE, (long)HTTP_CLIENT_BUFFER);
+    curl_easy_setopt(handle, CURLOPT_BUFFERSIZE, (long)HTTP_CLIENT_BUFFER_BYTES);
     curl_easy_setopt(handle, CURLOPT_MAXCONNECTS, (long)HTTP_CLIENT_CONNECTIONS);
     curl_easy_setopt(handle, CURLOPT_HTTP_VERSION, (long)CURL_HTTP_VERSION_1_1);
     curl_easy_setopt(handle, CURLOPT_PROXY, "");
     curl_easy_setopt(handle, CURLOPT_TIMEOUT_MS, (long)request->timeout_ms);
     curl_easy_setopt(handle, CURLOPT_CONNECTTIMEOUT_MS, (long)request->connect_timeout_ms);
-    /* On a reused connection that turns out dead, libcurl sends again by itself. */
+    /* libcurl resends the request by itself if a reused connection turns out to be closed. */
     curl_easy_setopt(handle, CURLOPT_FRESH_CONNECT, request->at_most_once ? 1L : 0L);
     curl_easy_setopt(handle, CURLOPT_HTTPHEADER, headers);
     if (request->body.length > 0 || strcmp(request->method, "POST") == 0) {
@@ -174,7 +178,7 @@
 enum http_transfer_result http_client_run(const struct http_request *request, int *status)
 {
     *status = 0;
-    struct http_transfer transfer = {.request = request, .handle = http_pool_take()};
+    struct http_transfer transfer = {.request = request, .handle = http_pool_acquire()};
     if (transfer.handle == NULL) {
         return HTTP_TRANSFER_NOT_SENT;
     }
@@ -190,6 +194,6 @@
     *status = (int)received;
     enum http_transfer_result result = http_transfer_outcome(code, &transfer);
     curl_slist_free_all(headers);
-    http_pool_give(transfer.handle);
+    http_pool_release(transfer.handle);
     return result;
 }
--- a/src/net/http_connection.h
+++ b/src/net/http_connection.h
@@ -1,62 +1,60 @@
 /**
  * @file http_connection.h
- * A connection of a listener, shared by the parts of it; not for others.
+ * Connections of an HTTP listener; internal to these files:
  *
- *   http_listener.c  accepting, reading requests, time limits, closing
- *   http_answer.c    writing answers
+ *   http_listener.c  accepting, reading requests, timeouts, closing
+ *   http_response.c  writing responses
  */
 #ifndef BANKBANK_NET_HTTP_CONNECTION_H
 #define BANKBANK_NET_HTTP_CONNECTION_H
 
 #include "net/http_listener.h"
 
-/** What a connection is at. */
 enum http_connection_state {
-    HTTP_READING,   /**< A request is due or arriving. */
-    HTTP_ANSWERING, /**< A call is with the handler. */
-    HTTP_LINGERING, /**< The last answer is written, what still comes is thrown away. */
-    HTTP_CLOSED     /**< Its memory goes with the loop's next turn. */
+    HTTP_READING,    /**< Waiting for a request, or receiving one. */
+    HTTP_RESPONDING, /**< The handler has the request; its response is not complete. */
+    HTTP_LINGERING,  /**< The last response is written; further input is discarded. */
+    HTTP_CLOSED      /**< Closing; freed by the close callback of the event loop. */
 };
 
-/** One connection of a listener. */
 struct http_connection {
-    uv_tcp_t socket;                  /**< Socket. */
-    struct http_listener *listener;   /**< Where it came in. */
-    enum http_connection_state state; /**< What it is at. */
-    struct http_reader reader;        /**< Reads requests. */
-    struct http_call call;            /**< Current request and its answer. */
-    struct buffer ahead;              /**< Bytes behind the current request. */
-    uint64_t since_ms;                /**< Start of the current rest, request or linger. */
-    uint64_t came_ms;                 /**< Loop time at which the first bytes of the current or next request came. */
-    uint64_t newest_ms;               /**< Loop time at which the newest bytes came. */
-    uint64_t unread_since_ms;         /**< Loop time since which nothing was read here; 0: since the turn before. */
-    bool arriving;                    /**< A part of a request has come. */
-    size_t arriving_bytes;            /**< Length of the body that is being read, as told or else the most it may be. */
-    bool no_room;                     /**< There is no memory to read it. */
-    size_t unsent;                    /**< Bytes of answers not taken yet, at the last look at time limits. */
-    bool looked_again;                /**< Its time was over, and bytes of its request were there unread. */
-    bool close_after;                 /**< The answer closes the connection. */
-    bool handling;                    /**< Guards against recursion while bytes are handled. */
-    struct http_connection *previous; /**< Connections of the listener. */
-    struct http_connection *next;     /**< Connections of the listener. */
+    uv_tcp_t socket;
+    struct http_listener *listener;
+    enum http_connection_state state;
+    struct http_reader reader;
+    struct http_call call;
+    struct buffer input;       /**< Received bytes not parsed yet; may hold pipelined requests. */
+    uint64_t state_since_ms;   /**< Start of the current idle period, request or linger. */
+    uint64_t received_ms;      /**< Loop time at which the first bytes of this or the next request arrived. */
+    uint64_t last_received_ms; /**< Loop time at which the latest bytes arrived. */
+    uint64_t unread_since_ms; /**< Loop time since which the socket was not read; 0: listener->previous_iteration_ms. */
+    bool receiving;           /**< Part of a request has arrived. */
+    size_t reserved_bytes;    /**< Memory reserved for the body: its length, or the largest allowed if unknown. */
+    bool over_memory_limit;   /**< Rejected: its body would bring the sum of all bodies above max_receiving_bytes. */
+    size_t unsent;            /**< Unsent bytes of responses at the last check of timeouts. */
+    bool timeout_deferred;    /**< Its timeout expired while unread bytes were queued; one more check is allowed. */
+    bool close_after;         /**< Close the connection after the response. */
+    bool processing;          /**< Guards against recursion in http_connection_advance(). */
+    struct http_connection *previous;
+    struct http_connection *next; /**< In the list listener->connections. */
 };
 
-/** Closes it; its memory goes once the loop has closed the socket. */
+/** Closes the connection; its memory is freed once the event loop has closed the socket. */
 void http_connection_close(struct http_connection *connection);
 
-/** The client has gone: tells the handler of a call under way, and closes. */
-void http_connection_lost(struct http_connection *connection);
+/** Handles a disconnect of the client: notifies the handler of a request in progress, and closes the connection. */
+void http_connection_on_disconnect(struct http_connection *connection);
 
-/** Handles the bytes at hand, request after request. */
+/** Parses and dispatches buffered requests one after the other, until one awaits its response. */
 void http_connection_advance(struct http_connection *connection);
 
-/** Writes, now as far as the socket takes it and the rest later. */
+/** Writes as much as the socket accepts and queues a copy of the rest. */
 void http_connection_write(struct http_connection *connection, struct view data);
 
-/** Ends the sending side and waits for the client's end, so that no reset overtakes the answer. */
+/** Shuts down the sending side and waits for the client to close, so that a TCP reset does not discard the response. */
 void http_connection_linger(struct http_connection *connection);
 
-/** The answer is written: the next request may come. */
+/** Completes the response: prepares for the next request, or lingers if the connection is to be closed. */
 void http_connection_finish(struct http_connection *connection);
 
 #endif
--- a/src/net/http_framing.c
+++ b/src/net/http_framing.c
@@ -15,11 +15,11 @@
 }
 
 /*
- * CivetWeb 1.15 ends each name and value in its request buffer by zero bytes
- * written over the colon, over blanks before it and over the line's end. It
- * stops at the first line that is not a header, so a folded line hides all
- * that follow. Both show in the bytes around the last strings: after a whole
- * head the two zero bytes of the last line are followed by a carriage return.
+ * CivetWeb 1.15 writes zero bytes over the colon, blanks before it and the end of
+ * the line, and stops at the first line that is not a header, so a folded line
+ * hides all following ones. The bytes after the strings reveal both: two zero bytes
+ * after a name are a blank and the colon; in a fully parsed head, the two zero
+ * bytes of the last line are followed by a carriage return.
  */
 static bool http_blank_before_colon(const struct mg_header *header)
 {
@@ -27,13 +27,13 @@
     return after_name + 1 < header->value && after_name[1] == '\0';
 }
 
-static bool http_lines_left_over(const struct mg_header *last)
+static bool http_has_unparsed_lines(const struct mg_header *last)
 {
     const char *end = last->value + strlen(last->value);
     return end[0] != '\0' || end[1] != '\0' || end[2] != '\r';
 }
 
-const char *http_framing_fault(const struct mg_request_info *request)
+const char *http_framing_error(const struct mg_request_info *request)
 {
     int lengths = 0;
     int encodings = 0;
@@ -63,7 +63,7 @@
     if (lengths == 1 && encodings == 1) {
         return "Content-Length stands beside Transfer-Encoding";
     }
-    if (request->num_headers > 0 && http_lines_left_over(&request->http_headers[request->num_headers - 1])) {
+    if (request->num_headers > 0 && http_has_unparsed_lines(&request->http_headers[request->num_headers - 1])) {
         return "a header line is malformed or folded";
     }
     bool needs_host = text_equal(request->http_version, "1.1");
@@ -75,12 +75,12 @@
 
 int http_framing_begin(struct mg_connection *connection)
 {
-    const char *fault = http_framing_fault(mg_get_request_info(connection));
-    if (fault == NULL) {
+    const char *framing_error = http_framing_error(mg_get_request_info(connection));
+    if (framing_error == NULL) {
         return 0;
     }
     struct http_error error = {HTTP_FRAMING_STATUS, "bad_framing", RUN_STATE_NOT_RUN, 0};
     mg_disable_connection_keep_alive(connection);
-    http_send_error(connection, &error, "%s", fault);
+    http_send_error(connection, &error, "%s", framing_error);
     return HTTP_FRAMING_STATUS;
 }
--- a/src/net/http_listener.c
+++ b/src/net/http_listener.c
@@ -1,4 +1,4 @@
-/* Accepting, reading requests, time limits, closing. */
+/* Accepts connections, reads requests, enforces timeouts, closes connections. */
 #include "net/http_connection.h"
 
 #include <netinet/tcp.h>
@@ -13,14 +13,14 @@
     HTTP_LISTENER_BACKLOG = 512,
     HTTP_LISTENER_SWEEP_MS = 250,
     HTTP_LISTENER_READ_BYTES = 1 << 16,
-    HTTP_LISTENER_NO_ROOM = 503,
-    HTTP_LISTENER_LINGER_MS = 1000,     /* time for the client to close, once the last answer has left */
-    HTTP_LISTENER_LATE_MS = 100,        /* what may have lain for less counts as come now */
-    HTTP_LISTENER_TAKE_MS = 15000,      /* time in which a client takes nothing of an answer that is due to it */
-    HTTP_LISTENER_AHEAD_BYTES = 1 << 16 /* bytes read behind a request that is being answered */
+    HTTP_LISTENER_UNAVAILABLE = 503,
+    HTTP_LISTENER_LINGER_MS = 1000,             /* time for the client to close after the last response */
+    HTTP_LISTENER_RECEIVE_SLACK_MS = 100,       /* bytes queued for at most this long count as received now */
+    HTTP_LISTENER_WRITE_TIMEOUT_MS = 15000,     /* longest time for which a client may accept no byte of its response */
+    HTTP_LISTENER_MAX_PIPELINED_BYTES = 1 << 16 /* bytes read ahead while a request is being answered */
 };
 
-static char http_read_space[HTTP_LISTENER_READ_BYTES];
+static char http_read_buffer[HTTP_LISTENER_READ_BYTES];
 
 /* ---- Closing ------------------------------------------------------------------------ */
 
@@ -29,15 +29,15 @@
     struct http_connection *connection = handle->data;
     http_reader_close(&connection->reader);
     buffer_close(&connection->call.body);
-    buffer_close(&connection->ahead);
+    buffer_close(&connection->input);
     free(connection);
 }
 
-/* Its body is read, or will not be. */
-static void http_connection_arrived(struct http_connection *connection)
+/* Releases the memory reserved for the body: it is complete, or will not be read. */
+static void http_connection_release_memory(struct http_connection *connection)
 {
-    connection->listener->arriving_bytes -= connection->arriving_bytes;
-    connection->arriving_bytes = 0;
+    connection->listener->reserved_bytes -= connection->reserved_bytes;
+    connection->reserved_bytes = 0;
 }
 
 void http_connection_close(struct http_connection *connection)
@@ -47,7 +47,7 @@
     }
     struct http_listener *listener = connection->listener;
     connection->state = HTTP_CLOSED;
-    http_connection_arrived(connection);
+    http_connection_release_memory(connection);
     if (connection->previous != NULL) {
         connection->previous->next = connection->next;
     } else {
@@ -59,70 +59,72 @@
     uv_close((uv_handle_t *)&connection->socket, http_on_closed);
 }
 
-void http_connection_lost(struct http_connection *connection)
+void http_connection_on_disconnect(struct http_connection *connection)
 {
     struct http_listener *listener = connection->listener;
-    if (connection->state == HTTP_ANSWERING) {
-        listener->counters.gone++;
+    if (connection->state == HTTP_RESPONDING) {
+        listener->counters.disconnects++;
         connection->state = HTTP_LINGERING;
-        listener->handler.gone(listener->handler.context, &connection->call);
+        listener->handler.disconnected(listener->handler.context, &connection->call);
     }
     http_connection_close(connection);
 }
 
 /* ---- Reading --------------------------------------------------------------------------------- */
 
-static void http_connection_refuse(struct http_connection *connection)
+static void http_connection_reject(struct http_connection *connection)
 {
     static const int statuses[] = {
-        [HTTP_FAULT_NONE] = 400,           [HTTP_FAULT_MALFORMED] = 400, [HTTP_FAULT_HEAD_TOO_LARGE] = 431,
-        [HTTP_FAULT_BODY_TOO_LARGE] = 413, [HTTP_FAULT_CUT] = 400,
+        [HTTP_PARSE_ERROR_NONE] = 400,           [HTTP_PARSE_ERROR_MALFORMED] = 400,
+        [HTTP_PARSE_ERROR_HEAD_TOO_LARGE] = 431, [HTTP_PARSE_ERROR_BODY_TOO_LARGE] = 413,
+        [HTTP_PARSE_ERROR_TRUNCATED] = 400,
     };
-    static const char no_room[] = "{\"error\":{\"code\":\"memory full\",\"run_state\":\"not-run\"}}";
-    static const char body[] = "{\"error\":{\"code\":\"bad_request\",\"run_state\":\"not-run\"}}";
+    static const char memory_full_body[] = "{\"error\":{\"code\":\"memory full\",\"run_state\":\"not-run\"}}";
+    static const char bad_request_body[] = "{\"error\":{\"code\":\"bad_request\",\"run_state\":\"not-run\"}}";
     connection->close_after = true;
-    connection->state = HTTP_ANSWERING;
-    http_connection_arrived(connection);
-    if (connection->no_room) {
-        connection->listener->counters.no_room++;
-        http_call_reply(&connection->call, HTTP_LISTENER_NO_ROOM, "X-Run-State: not-run\r\nRetry-After: 1\r\n",
-                        "application/json", view_of_string(no_room));
+    connection->state = HTTP_RESPONDING;
+    http_connection_release_memory(connection);
+    if (connection->over_memory_limit) {
+        connection->listener->counters.over_memory_limit++;
+        http_call_send_response(&connection->call, HTTP_LISTENER_UNAVAILABLE,
+                                "X-Run-State: not-run\r\nRetry-After: 1\r\n", "application/json",
+                                view_of_string(memory_full_body));
         return;
     }
     connection->listener->counters.malformed++;
-    http_call_reply(&connection->call, statuses[connection->reader.fault], "X-Run-State: not-run\r\n",
-                    "application/json", view_of_string(body));
+    http_call_send_response(&connection->call, statuses[connection->reader.error], "X-Run-State: not-run\r\n",
+                            "application/json", view_of_string(bad_request_body));
 }
 
-/* Sets the memory of a body aside before it is read; false: there is none. */
-static bool http_connection_expect(struct http_connection *connection, const struct http_reader *reader)
+/* Reserves memory for a body before it is read; returns false if max_receiving_bytes does not allow it. */
+static bool http_connection_reserve_memory(struct http_connection *connection, const struct http_reader *reader)
 {
     struct http_listener *listener = connection->listener;
-    bool told = (reader->parser.flags & F_CHUNKED) == 0;
-    uint64_t length = told ? reader->parser.content_length : listener->limits.max_body_bytes;
-    bool none = told && (length == 0 || length == UINT64_MAX);
-    if (none || length > listener->limits.max_body_bytes) {
-        return true; /* nothing comes, or it is refused for its length */
-    }
-    connection->arriving_bytes = (size_t)length;
-    listener->arriving_bytes += connection->arriving_bytes;
-    size_t most = listener->limits.max_arriving_bytes;
-    bool alone = listener->arriving_bytes == connection->arriving_bytes; /* a body alone is taken at any length */
-    connection->no_room = most > 0 && listener->arriving_bytes > most && !alone;
-    if (told && !connection->no_room) {
-        buffer_reserve(&connection->call.body, connection->arriving_bytes);
-    }
-    return !connection->no_room;
+    bool length_known = (reader->parser.flags & F_CHUNKED) == 0;
+    uint64_t length = length_known ? reader->parser.content_length : listener->limits.max_body_bytes;
+    bool no_body = length_known && (length == 0 || length == UINT64_MAX);
+    if (no_body || length > listener->limits.max_body_bytes) {
+        return true; /* there is no body, or it will be rejected as too large */
+    }
+    connection->reserved_bytes = (size_t)length;
+    listener->reserved_bytes += connection->reserved_bytes;
+    size_t max_bytes = listener->limits.max_receiving_bytes;
+    bool only_body = listener->reserved_bytes == connection->reserved_bytes; /* a single body is always allowed */
+    connection->over_memory_limit = max_bytes > 0 && listener->reserved_bytes > max_bytes && !only_body;
+    if (length_known && !connection->over_memory_limit) {
+        buffer_reserve(&connection->call.body, connection->reserved_bytes);
+    }
+    return !connection->over_memory_limit;
 }
 
 static bool http_on_request_head(void *context, struct http_reader *reader)
 {
     struct http_connection *connection = context;
-    if (!http_connection_expect(connection, reader)) {
+    if (!http_connection_reserve_memory(connection, reader)) {
         return false;
     }
-    bool waits = http_name_equal(http_reader_header(reader, "Expect"), "100-continue");
-    if (waits && reader->parser.http_minor >= 1) {
+    bool expects_continue = http_name_equal(http_reader_header(reader, "Expect"), "100-continue");
+    if (expects_continue && reader->parser.http_minor >= 1) {
         http_connection_write(connection, view_of_string("HTTP/1.1 100 Continue\r\n\r\n"));
     }
     return !http_name_equal(reader->method, "CONNECT");
@@ -146,105 +148,105 @@
 static void http_connection_dispatch(struct http_connection *connection)
 {
     struct http_listener *listener = connection->listener;
-    connection->state = HTTP_ANSWERING;
-    connection->arriving = false;
-    connection->looked_again = false;
-    http_connection_arrived(connection);
-    connection->call.received_ms = connection->came_ms;
+    connection->state = HTTP_RESPONDING;
+    connection->receiving = false;
+    connection->timeout_deferred = false;
+    http_connection_release_memory(connection);
+    connection->call.received_ms = connection->received_ms;
     listener->counters.requests++;
     listener->handler.request(listener->handler.context, &connection->call);
 }
 
-/* Handles the bytes at hand, request after request. */
 void http_connection_advance(struct http_connection *connection)
 {
-    connection->handling = true;
-    while (connection->state == HTTP_READING && connection->ahead.length > 0) {
+    connection->processing = true;
+    while (connection->state == HTTP_READING && connection->input.length > 0) {
         connection->reader.max_head_bytes = connection->listener->limits.max_head_bytes;
         connection->reader.max_body_bytes = connection->listener->limits.max_body_bytes;
-        size_t used = http_reader_feed(&connection->reader, connection->ahead.data, connection->ahead.length);
-        buffer_consume(&connection->ahead, used);
-        if (connection->reader.fault != HTTP_FAULT_NONE) {
-            http_connection_refuse(connection);
+        size_t used = http_reader_feed(&connection->reader, connection->input.data, connection->input.length);
+        buffer_consume(&connection->input, used);
+        if (connection->reader.error != HTTP_PARSE_ERROR_NONE) {
+            http_connection_reject(connection);
         } else if (connection->reader.complete) {
             http_connection_dispatch(connection);
         }
     }
-    if (connection->ahead.length == 0) {
-        buffer_close(&connection->ahead);
+    if (connection->input.length == 0) {
+        buffer_close(&connection->input);
     }
-    connection->handling = false;
+    connection->processing = false;
 }
 
-/* ---- When a request came ----------------------------------------------------------------------- */
+/* ---- Receive time ------------------------------------------------------------------------------ */
 
-/* Time for which the newest of the bytes that were just read had lain in the kernel; 0 where it does not tell. */
-static uint64_t http_connection_lain_ms(const struct http_connection *connection)
+/* Time for which the latest bytes just read were queued in the kernel; 0 if unknown. */
+static uint64_t http_connection_kernel_queued_ms(const struct http_connection *connection)
 {
-    uv_os_fd_t file;
+    uv_os_fd_t fd;
     struct tcp_info info = {0};
     socklen_t size = sizeof(info);
-    bool told = uv_fileno((const uv_handle_t *)&connection->socket, &file) == 0 &&
-                getsockopt(file, IPPROTO_TCP, TCP_INFO, &info, &size) == 0 && info.tcpi_state != TCP_CLOSE;
-    return told ? info.tcpi_last_data_recv : 0;
+    bool valid = uv_fileno((const uv_handle_t *)&connection->socket, &fd) == 0 &&
+                 getsockopt(fd, IPPROTO_TCP, TCP_INFO, &info, &size) == 0 && info.tcpi_state != TCP_CLOSE;
+    return valid ? info.tcpi_last_data_recv : 0;
 }
 
-/* Asking costs ten times as much as reading the clock (0.4 us): it is done only where the answer can be long. The real
- * time counts, since the loop's is that of the begin of its turn. */
-static uint64_t http_connection_came_ms(const struct http_connection *connection)
+/* Loop time at which the bytes just read arrived. getsockopt() is slower than reading the clock, so the kernel is asked
+ * only if they can have been queued for long. uv_now() is the start of the iteration, so the clock is read instead. */
+static uint64_t http_connection_receive_time_ms(const struct http_connection *connection)
 {
     const struct http_listener *listener = connection->listener;
     uint64_t now_ms = uv_now(listener->loop);
-    uint64_t real_ms = clock_monotonic_ms();
-    uint64_t after_ms = connection->unread_since_ms != 0 ? connection->unread_since_ms : listener->before_ms;
-    if (real_ms <= after_ms + HTTP_LISTENER_LATE_MS) {
+    uint64_t clock_ms = clock_monotonic_ms();
+    uint64_t earliest_ms =
+        connection->unread_since_ms != 0 ? connection->unread_since_ms : listener->previous_iteration_ms;
+    if (clock_ms <= earliest_ms + HTTP_LISTENER_RECEIVE_SLACK_MS) {
         return now_ms;
     }
-    uint64_t lain_ms = http_connection_lain_ms(connection);
-    uint64_t most_ms = real_ms - after_ms;
-    uint64_t came_ms = real_ms - (lain_ms < most_ms ? lain_ms : most_ms);
-    return came_ms < now_ms ? came_ms : now_ms;
+    uint64_t queued_ms = http_connection_kernel_queued_ms(connection);
+    uint64_t max_queued_ms = clock_ms - earliest_ms;
+    uint64_t received_ms = clock_ms - (queued_ms < max_queued_ms ? queued_ms : max_queued_ms);
+    return received_ms < now_ms ? received_ms : now_ms;
 }
 
-static void http_on_turn(uv_prepare_t *turn)
+static void http_on_prepare(uv_prepare_t *prepare)
 {
-    struct http_listener *listener = turn->data;
-    listener->before_ms = listener->turn_ms;
-    listener->turn_ms = uv_now(listener->loop);
+    struct http_listener *listener = prepare->data;
+    listener->previous_iteration_ms = listener->iteration_ms;
+    listener->iteration_ms = uv_now(listener->loop);
 }
 
-/* ---- Arriving ----------------------------------------------------------------------------------- */
+/* ---- Events ------------------------------------------------------------------------------------- */
 
 static void http_on_alloc(uv_handle_t *handle, size_t suggested, uv_buf_t *out)
 {
     (void)handle;
     (void)suggested;
-    *out = uv_buf_init(http_read_space, sizeof(http_read_space));
+    *out = uv_buf_init(http_read_buffer, sizeof(http_read_buffer));
 }
 
-static void http_on_read(uv_stream_t *stream, ssize_t got, const uv_buf_t *space)
+static void http_on_read(uv_stream_t *stream, ssize_t nread, const uv_buf_t *buffer)
 {
     struct http_connection *connection = stream->data;
-    if (got < 0) {
-        http_connection_lost(connection);
+    if (nread < 0) {
+        http_connection_on_disconnect(connection);
         return;
     }
-    if (got == 0 || connection->state == HTTP_LINGERING) {
+    if (nread == 0 || connection->state == HTTP_LINGERING) {
         return;
     }
-    connection->newest_ms = http_connection_came_ms(connection);
-    if (!connection->arriving && connection->ahead.length == 0) {
-        connection->came_ms = connection->newest_ms;
+    connection->last_received_ms = http_connection_receive_time_ms(connection);
+    if (!connection->receiving && connection->input.length == 0) {
+        connection->received_ms = connection->last_received_ms;
     }
     connection->unread_since_ms = 0;
-    if (connection->state == HTTP_READING && !connection->arriving) {
-        connection->arriving = true;
-        connection->since_ms = uv_now(connection->listener->loop);
+    if (connection->state == HTTP_READING && !connection->receiving) {
+        connection->receiving = true;
+        connection->state_since_ms = uv_now(connection->listener->loop);
     }
-    buffer_append(&connection->ahead, space->base, (size_t)got);
+    buffer_append(&connection->input, buffer->base, (size_t)nread);
     if (connection->state == HTTP_READING) {
         http_connection_advance(connection);
-    } else if (connection->ahead.length > HTTP_LISTENER_AHEAD_BYTES) {
+    } else if (connection->input.length > HTTP_LISTENER_MAX_PIPELINED_BYTES) {
         uv_read_stop(stream);
         connection->unread_since_ms = uv_now(connection->listener->loop);
     }
@@ -268,8 +270,8 @@
         .complete = http_on_request_complete,
     };
     http_reader_reset(&connection->reader);
-    connection->since_ms = uv_now(listener->loop);
-    connection->unread_since_ms = listener->before_ms;
+    connection->state_since_ms = uv_now(listener->loop);
+    connection->unread_since_ms = listener->previous_iteration_ms;
     uv_tcp_init(listener->loop, &connection->socket);
     connection->socket.data = connection;
     connection->next = listener->connections;
@@ -286,51 +288,52 @@
     uv_read_start((uv_stream_t *)&connection->socket, http_on_alloc, http_on_read);
 }
 
-/* ---- Time --------------------------------------------------------------------------------------- */
+/* ---- Timeouts ------------------------------------------------------------------------------------ */
 
-/* What a process that was late has not read yet is no silence of the client's. */
-static bool http_connection_has_bytes(const struct http_connection *connection)
+/* A timeout must not expire only because this process is late in reading the client's bytes. */
+static bool http_connection_has_unread_bytes(const struct http_connection *connection)
 {
-    uv_os_fd_t file;
+    uv_os_fd_t fd;
     char byte;
-    return uv_fileno((const uv_handle_t *)&connection->socket, &file) == 0 &&
-           recv(file, &byte, 1, MSG_PEEK | MSG_DONTWAIT) > 0;
+    return uv_fileno((const uv_handle_t *)&connection->socket, &fd) == 0 &&
+           recv(fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT) > 0;
 }
 
-static uint64_t http_connection_limit(const struct http_connection *connection)
+static uint64_t http_connection_timeout_ms(const struct http_connection *connection)
 {
     const struct http_limits *limits = &connection->listener->limits;
     if (connection->unsent > 0) {
-        return HTTP_LISTENER_TAKE_MS;
+        return HTTP_LISTENER_WRITE_TIMEOUT_MS;
     }
     switch (connection->state) {
-    case HTTP_READING: return connection->arriving ? limits->header_timeout_ms : limits->idle_timeout_ms;
+    case HTTP_READING: return connection->receiving ? limits->header_timeout_ms : limits->idle_timeout_ms;
     case HTTP_LINGERING: return HTTP_LISTENER_LINGER_MS;
     default: return 0;
     }
 }
 
-/* An answer that the client takes, however slowly, is neither a rest nor a linger. */
-static void http_connection_note_unsent(struct http_connection *connection, uint64_t now_ms)
+/* Restarts the timeout whenever the client accepts bytes: sending a response counts neither as idle nor as linger. */
+static void http_connection_update_unsent(struct http_connection *connection, uint64_t now_ms)
 {
-    size_t unsent = http_call_pending(&connection->call);
+    size_t unsent = http_call_unsent_bytes(&connection->call);
     if (unsent != connection->unsent) {
         connection->unsent = unsent;
-        connection->since_ms = now_ms;
+        connection->state_since_ms = now_ms;
     }
 }
 
-/* Whether its time is over. Bytes that wait are read in this turn; a request gets one look more for its rest. */
-static bool http_connection_is_over(struct http_connection *connection, uint64_t now_ms)
+/* Whether the timeout has expired. If there are unread bytes, which this iteration reads, the decision is left to the
+ * next check, once per request. */
+static bool http_connection_timed_out(struct http_connection *connection, uint64_t now_ms)
 {
-    uint64_t limit = http_connection_limit(connection);
-    if (limit == 0 || now_ms < connection->since_ms + limit) {
+    uint64_t timeout_ms = http_connection_timeout_ms(connection);
+    if (timeout_ms == 0 || now_ms < connection->state_since_ms + timeout_ms) {
         return false;
     }
-    bool reads = connection->state == HTTP_READING && connection->unsent == 0;
-    bool again = reads && !connection->looked_again && http_connection_has_bytes(connection);
-    connection->looked_again = again;
-    return !again;
+    bool reading = connection->state == HTTP_READING && connection->unsent == 0;
+    bool deferred = reading && !connection->timeout_deferred && http_connection_has_unread_bytes(connection);
+    connection->timeout_deferred = deferred;
+    return !deferred;
 }
 
 static void http_on_sweep(uv_timer_t *timer)
@@ -340,8 +343,8 @@
     struct http_connection *next = NULL;
     for (struct http_connection *connection = listener->connections; connection != NULL; connection = next) {
         next = connection->next;
-        http_connection_note_unsent(connection, now_ms);
-        if (http_connection_is_over(connection, now_ms)) {
+        http_connection_update_unsent(connection, now_ms);
+        if (http_connection_timed_out(connection, now_ms)) {
             listener->counters.timeouts++;
             http_connection_close(connection);
         }
@@ -358,19 +361,19 @@
     listener->socket.data = listener;
     uv_tcp_init(loop, &listener->socket);
     uv_timer_init(loop, &listener->sweep);
-    uv_prepare_init(loop, &listener->turn);
+    uv_prepare_init(loop, &listener->prepare);
     listener->socket.data = listener;
     listener->sweep.data = listener;
-    listener->turn.data = listener;
-    listener->turn_ms = uv_now(loop);
-    listener->before_ms = listener->turn_ms;
+    listener->prepare.data = listener;
+    listener->iteration_ms = uv_now(loop);
+    listener->previous_iteration_ms = listener->iteration_ms;
     int result = uv_tcp_bind(&listener->socket, (const struct sockaddr *)&address->socket, 0);
     if (result == 0) {
         result = uv_listen((uv_stream_t *)&listener->socket, HTTP_LISTENER_BACKLOG, http_on_accept);
     }
     listener->listening = result == 0;
     uv_timer_start(&listener->sweep, http_on_sweep, HTTP_LISTENER_SWEEP_MS, HTTP_LISTENER_SWEEP_MS);
-    uv_prepare_start(&listener->turn, http_on_turn);
+    uv_prepare_start(&listener->prepare, http_on_prepare);
     return result;
 }
 
@@ -388,7 +391,8 @@
     struct http_connection *next = NULL;
     for (struct http_connection *connection = listener->connections; connection != NULL; connection = next) {
         next = connection->next;
-        if (connection->state == HTTP_READING && !connection->arriving && !http_connection_has_bytes(connection)) {
+        if (connection->state == HTTP_READING && !connection->receiving &&
+            !http_connection_has_unread_bytes(connection)) {
             http_connection_linger(connection);
         }
     }
@@ -404,31 +408,31 @@
         uv_close((uv_handle_t *)&listener->socket, NULL);
     }
     while (listener->connections != NULL) {
-        http_connection_lost(listener->connections);
+        http_connection_on_disconnect(listener->connections);
     }
     uv_close((uv_handle_t *)&listener->sweep, NULL);
-    uv_close((uv_handle_t *)&listener->turn, NULL);
+    uv_close((uv_handle_t *)&listener->prepare, NULL);
 }
 
-uint32_t http_listener_active(const struct http_listener *listener)
+uint32_t http_listener_active_count(const struct http_listener *listener)
 {
     uint32_t active = 0;
     for (const struct http_connection *connection = listener->connections; connection != NULL;
          connection = connection->next) {
-        bool reads =
-            connection->state == HTTP_READING && (connection->arriving || http_connection_has_bytes(connection));
-        bool busy = connection->state == HTTP_ANSWERING || reads;
-        active += busy || http_call_pending(&connection->call) > 0 ? 1 : 0;
+        bool reading = connection->state == HTTP_READING &&
+                       (connection->receiving || http_connection_has_unread_bytes(connection));
+        bool busy = connection->state == HTTP_RESPONDING || reading;
+        active += busy || http_call_unsent_bytes(&connection->call) > 0 ? 1 : 0;
     }
     return active;
 }
 
-size_t http_listener_unsent(const struct http_listener *listener)
+size_t http_listener_unsent_bytes(const struct http_listener *listener)
 {
     size_t unsent = 0;
     for (const struct http_connection *connection = listener->connections; connection != NULL;
          connection = connection->next) {
-        unsent += http_call_pending(&connection->call);
+        unsent += http_call_unsent_bytes(&connection->call);
     }
     return unsent;
 }
--- a/src/net/http_listener.h
+++ b/src/net/http_listener.h
@@ -1,14 +1,13 @@
 /**
  * @file http_listener.h
- * An event-driven HTTP/1.1 server on libuv. A request is read whole, then
- * given to the handler as a `http_call`; the answer is written by the
- * functions here, at once or part by part. One call a connection at a time.
+ * An event-driven HTTP/1.1 server on libuv. A complete request is passed to the
+ * handler as a `http_call`; the response is written as a whole or in parts. A
+ * connection handles one request at a time. The handler is notified as soon as
+ * the client disconnects.
  *
- * The handler learns at once, in every phase, when the client has left.
- *
- * A client's time runs from when its request came, not from when it was read: a
- * process that stood still, or waited for a processor, reads it later. Where that
- * can have been long, the kernel is asked how long the bytes have lain there.
+ * The receive time of a request is when its bytes arrived, not when they were
+ * read, which is later if the process was stalled. If the difference can be
+ * large, the kernel is asked how long the bytes were queued.
  */
 #ifndef BANKBANK_NET_HTTP_LISTENER_H
 #define BANKBANK_NET_HTTP_LISTENER_H
@@ -25,105 +24,102 @@
 struct http_connection;
 struct http_listener;
 
-/** Limits of what clients may send; they may change while the listener runs. */
+/** Limits on clients; they may change while the listener runs. */
 struct http_limits {
-    size_t max_head_bytes;      /**< Largest head. */
-    size_t max_body_bytes;      /**< Largest body. */
-    uint64_t header_timeout_ms; /**< Time a request may take to arrive, once begun. */
-    uint64_t idle_timeout_ms;   /**< Time a connection may rest between requests. */
-    size_t max_arriving_bytes;  /**< Bodies that are being read, of all connections; 0: no limit. */
+    size_t max_head_bytes;
+    size_t max_body_bytes;
+    uint64_t header_timeout_ms; /**< For a whole request with its body, from its first byte. */
+    uint64_t idle_timeout_ms;   /**< Between requests. */
+    size_t max_receiving_bytes; /**< All bodies being received; a single one is always allowed. 0: no limit. */
 };
 
-/** A request and its answer. */
+/** A request and its response. */
 struct http_call {
-    struct http_connection *connection; /**< Its connection. */
-    struct http_reader *request;        /**< Head: method, target, headers. */
-    struct buffer body;                 /**< Whole body. */
-    uint64_t received_ms;               /**< Loop time at which its first bytes came, or, where it was sent ahead of an
-                                             answer, the newest bytes read by then; never later than now. */
-    void *owner;                        /**< The handler's. */
-    bool head_sent;                     /**< The answer has begun. */
-    bool chunked;                       /**< The answer's body goes in chunks. */
+    struct http_connection *connection;
+    struct http_reader *request; /**< Head: method, target, headers. */
+    struct buffer body;
+    uint64_t received_ms; /**< Loop time at which its first bytes arrived. If it was pipelined: at which the last
+                               bytes read before the end of the previous response arrived. Never later than now. */
+    void *owner;          /**< For use by the handler. */
+    bool head_sent;
+    bool chunked;
 };
 
-/** Receives requests. */
 struct http_handler {
-    void *context; /**< First argument of every function. */
-    /** A whole request; answered now or later. */
+    void *context; /**< First argument of every callback. */
+    /** A complete request was received; it may be answered now or later. */
     void (*request)(void *context, struct http_call *call);
-    /** The client left before the answer ended; the call must not be used any more. */
-    void (*gone)(void *context, struct http_call *call);
-    /** All of the answer so far has left (http_call_pending() is 0 again); may be NULL. */
+    /** The client disconnected before the response was complete; the call must not be used afterwards. */
+    void (*disconnected)(void *context, struct http_call *call);
+    /** All queued bytes of the response were written (http_call_unsent_bytes() is 0 again); may be NULL. */
     void (*drained)(void *context, struct http_call *call);
 };
 
-/** Events so far, one counter each. */
+/** Counters since the start. */
 struct http_listener_counters {
-    uint64_t accepted;  /**< Connections. */
-    uint64_t requests;  /**< Whole requests. */
-    uint64_t malformed; /**< Requests refused for their form. */
-    uint64_t gone;      /**< Clients that left before their answer ended. */
-    uint64_t no_room;   /**< Requests whose body would have been over max_arriving_bytes. */
-    uint64_t timeouts;  /**< Connections closed for idleness or slowness. */
+    uint64_t accepted;          /**< Connections. */
+    uint64_t requests;          /**< Complete requests. */
+    uint64_t malformed;         /**< Requests rejected as malformed or too large. */
+    uint64_t disconnects;       /**< Clients that disconnected before their response was complete. */
+    uint64_t over_memory_limit; /**< Requests rejected because of max_receiving_bytes. */
+    uint64_t timeouts;          /**< Connections closed by a timeout. */
 };
 
-/** A listening address and its connections. */
+/** A listening socket and its connections. */
 struct http_listener {
-    uv_tcp_t socket;                        /**< Listening socket. */
-    uv_timer_t sweep;                       /**< Looks for idle and slow connections. */
-    uv_prepare_t turn;                      /**< Notes the times below. */
-    uint64_t turn_ms;                       /**< Loop time before the last wait for events. */
-    uint64_t before_ms;                     /**< And before the one before: what is read now came after it. */
-    uv_loop_t *loop;                        /**< Event loop. */
-    struct http_handler handler;            /**< Receiver. */
-    struct http_limits limits;              /**< In force for new requests. */
-    bool draining;                          /**< Answers close their connections. */
-    bool listening;                         /**< The socket is open. */
-    struct http_connection *connections;    /**< All connections. */
-    size_t arriving_bytes;                  /**< Lengths of the bodies that are being read. */
-    struct http_listener_counters counters; /**< Events. */
+    uv_tcp_t socket;
+    uv_timer_t sweep;               /**< Checks the timeouts of all connections. */
+    uv_prepare_t prepare;           /**< Updates the iteration times below. */
+    uint64_t iteration_ms;          /**< Loop time before the last poll for events. */
+    uint64_t previous_iteration_ms; /**< The same one iteration earlier: bytes read now arrived after it. */
+    uv_loop_t *loop;
+    struct http_handler handler;
+    struct http_limits limits;
+    bool draining;  /**< Connections are closed after their response. */
+    bool listening; /**< The socket is open. */
+    struct http_connection *connections;
+    size_t reserved_bytes; /**< Memory reserved for bodies being received. */
+    struct http_listener_counters counters;
 };
 
-/** Starts listening; returns 0 or a libuv error. */
+/** Starts listening; returns 0 or a libuv error code. */
 int http_listener_start(struct http_listener *listener, uv_loop_t *loop, const struct address *address,
                         const struct http_handler *handler, const struct http_limits *limits);
 
-/** Stops accepting and closes connections that rest. */
+/** Stops accepting connections and closes idle ones. */
 void http_listener_stop_accepting(struct http_listener *listener);
 
-/** Closes everything; requests under way end as if their clients had left. */
+/** Closes the listener and all connections; in-flight requests end as if their clients had disconnected. */
 void http_listener_close(struct http_listener *listener);
 
-/** From now on each answer closes its connection. */
+/** From now on, connections are closed after their response. */
 void http_listener_drain(struct http_listener *listener);
 
-/** Number of connections with a request that waits to be read, arrives or is being answered, or an answer that is not
- * taken whole yet. */
-uint32_t http_listener_active(const struct http_listener *listener);
+/** Number of connections with an incomplete or unanswered request, unread bytes or unsent bytes of a response. */
+uint32_t http_listener_active_count(const struct http_listener *listener);
 
-/** Answers whole; `headers` are lines each ended by CRLF, or NULL. */
-void http_call_reply(struct http_call *call, int status, const char *headers, const char *content_type,
-                     struct view body);
+/** Sends a complete response; `headers` are lines each ending in CRLF, or NULL. The call is invalid afterwards. */
+void http_call_send_response(struct http_call *call, int status, const char *headers, const char *content_type,
+                             struct view body);
 
-/** Begins an answer of unknown length; `headers` as above. */
-void http_call_begin(struct http_call *call, int status, struct view headers);
+/** Starts a response of unknown length; `headers` are lines each ending in CRLF, or empty. */
+void http_call_start_response(struct http_call *call, int status, struct view headers);
 
-/** Sends a part of its body. */
-void http_call_data(struct http_call *call, struct view data);
+void http_call_send_data(struct http_call *call, struct view data);
 
-/** Ends the answer in order. The call is gone after this. */
-void http_call_end(struct http_call *call);
+/** The call is invalid afterwards. */
+void http_call_end_response(struct http_call *call);
 
-/** Breaks the answer off, so that the client sees it is not whole. The call is gone after this. */
-void http_call_cut(struct http_call *call);
+/** Closes the connection so that the client sees an incomplete response. The call is invalid afterwards. */
+void http_call_abort_response(struct http_call *call);
 
-/** The answer of this call will close its connection. */
+/** Makes the connection close after the response. */
 void http_call_close_after(struct http_call *call);
 
-/** Bytes written and not yet taken by the client. */
-size_t http_call_pending(const struct http_call *call);
+/** Bytes written to the connection and not yet accepted by the kernel. */
+size_t http_call_unsent_bytes(const struct http_call *call);
 
-/** Bytes of answers that clients have not taken, over all connections: those that are whole too. */
-size_t http_listener_unsent(const struct http_listener *listener);
+/** The sum of http_call_unsent_bytes() over all connections, completed responses included. */
+size_t http_listener_unsent_bytes(const struct http_listener *listener);
 
 #endif
--- a/src/net/http_reader.c
+++ b/src/net/http_reader.c
@@ -58,8 +58,8 @@
     reader->target = view_of(first + 1, (size_t)(last - first - 1));
     struct view version = view_of(last + 1, (size_t)(line.data + line.length - last - 1));
     bool known = http_name_equal(version, "HTTP/1.1") || http_name_equal(version, "HTTP/1.0");
-    bool plain = memchr(reader->target.data, ' ', reader->target.length) == NULL;
-    return known && plain && reader->target.length > 0 && http_is_token(reader->method);
+    bool no_spaces = memchr(reader->target.data, ' ', reader->target.length) == NULL;
+    return known && no_spaces && reader->target.length > 0 && http_is_token(reader->method);
 }
 
 static bool http_is_status_line(struct view line)
@@ -81,7 +81,7 @@
     return http_is_token(header->name);
 }
 
-static bool http_is_clean_line(struct view line)
+static bool http_has_no_control_bytes(struct view line)
 {
     for (size_t i = 0; i < line.length; i++) {
         uint8_t byte = line.data[i];
@@ -92,8 +92,8 @@
     return true;
 }
 
-/* Splits the head into lines; folded lines fail, since a name holds no blank. */
-static bool http_read_lines(struct http_reader *reader)
+/* Folded lines are rejected, since a header name contains no blank. */
+static bool http_parse_head(struct http_reader *reader)
 {
     struct view rest = buffer_view(&reader->head);
     bool first = true;
@@ -107,15 +107,15 @@
         if (line.length == 0) {
             break;
         }
-        bool good = http_is_clean_line(line);
+        bool valid = http_has_no_control_bytes(line);
         if (first && reader->type == HTTP_REQUEST) {
-            good = good && http_read_request_line(reader, line);
+            valid = valid && http_read_request_line(reader, line);
         } else if (first) {
-            good = good && http_is_status_line(line);
+            valid = valid && http_is_status_line(line);
         } else {
-            good = good && http_read_header_line(reader, line);
+            valid = valid && http_read_header_line(reader, line);
         }
-        if (!good) {
+        if (!valid) {
             return false;
         }
         first = false;
@@ -123,7 +123,7 @@
     return !first;
 }
 
-static bool http_is_number(struct view text)
+static bool http_is_decimal(struct view text)
 {
     for (size_t i = 0; i < text.length; i++) {
         if (text.data[i] < '0' || text.data[i] > '9') {
@@ -133,7 +133,7 @@
     return text.length > 0 && text.length <= 18;
 }
 
-static bool http_framing_is_clear(const struct http_reader *reader)
+static bool http_framing_is_unambiguous(const struct http_reader *reader)
 {
     int lengths = 0;
     int encodings = 0;
@@ -142,7 +142,7 @@
         const struct http_header *header = &reader->headers[i];
         if (http_name_equal(header->name, "Content-Length")) {
             lengths++;
-            if (!http_is_number(header->value)) {
+            if (!http_is_decimal(header->value)) {
                 return false;
             }
         } else if (http_name_equal(header->name, "Transfer-Encoding")) {
@@ -158,7 +158,7 @@
     return lengths + encodings <= 1 && host_ok;
 }
 
-/* ---- http-parser's callbacks -------------------------------------------------------- */
+/* ---- Callbacks of http-parser ------------------------------------------------------- */
 
 static int http_on_headers_complete(http_parser *parser)
 {
@@ -169,7 +169,7 @@
                                                         parser->status_code == 304 || parser->status_code < 200);
     bool framed = (parser->flags & F_CHUNKED) != 0 || (parser->flags & F_CONTENTLENGTH) != 0;
     reader->until_close = reader->type == HTTP_RESPONSE && !no_content && !framed;
-    if (!http_framing_is_clear(reader) || parser->status_code == HTTP_STATUS_SWITCHING) {
+    if (!http_framing_is_unambiguous(reader) || parser->status_code == HTTP_STATUS_SWITCHING) {
         return -1;
     }
     reader->head_done = true;
@@ -184,7 +184,7 @@
     struct http_reader *reader = parser->data;
     reader->body_bytes += length;
     if (reader->body_bytes > reader->max_body_bytes) {
-        reader->fault = HTTP_FAULT_BODY_TOO_LARGE;
+        reader->error = HTTP_PARSE_ERROR_BODY_TOO_LARGE;
         return -1;
     }
     return reader->events.body(reader->events.context, reader, view_of(data, length)) ? 0 : -1;
@@ -204,7 +204,7 @@
     .on_message_complete = http_on_message_complete,
 };
 
-/* ---- Feeding -------------------------------------------------------------------------- */
+/* ---- Parsing -------------------------------------------------------------------------- */
 
 void http_reader_reset(struct http_reader *reader)
 {
@@ -218,7 +218,7 @@
     reader->keep_alive = false;
     reader->until_close = false;
     reader->body_bytes = 0;
-    reader->fault = HTTP_FAULT_NONE;
+    reader->error = HTTP_PARSE_ERROR_NONE;
 }
 
 void http_reader_close(struct http_reader *reader)
@@ -226,10 +226,10 @@
     buffer_close(&reader->head);
 }
 
-static void http_reader_fail(struct http_reader *reader, enum http_fault fault)
+static void http_reader_fail(struct http_reader *reader, enum http_parse_error error)
 {
-    if (reader->fault == HTTP_FAULT_NONE) {
-        reader->fault = fault;
+    if (reader->error == HTTP_PARSE_ERROR_NONE) {
+        reader->error = error;
     }
 }
 
@@ -238,13 +238,13 @@
     size_t used = http_parser_execute(&reader->parser, &http_reader_settings, (const char *)data, length);
     enum http_errno error = HTTP_PARSER_ERRNO(&reader->parser);
     if (error != HPE_OK && error != HPE_PAUSED) {
-        http_reader_fail(reader, HTTP_FAULT_MALFORMED);
+        http_reader_fail(reader, HTTP_PARSE_ERROR_MALFORMED);
     }
     return used;
 }
 
-/* Gathers the head; returns how many bytes belong to it. */
-static size_t http_reader_gather(struct http_reader *reader, const uint8_t *data, size_t length)
+/* Appends to the head and parses it when complete; returns the number of bytes consumed. */
+static size_t http_reader_collect_head(struct http_reader *reader, const uint8_t *data, size_t length)
 {
     size_t before = reader->head.length;
     buffer_append(&reader->head, data, length);
@@ -252,20 +252,20 @@
     const uint8_t *end = memmem(reader->head.data + from, reader->head.length - from, "\r\n\r\n", 4);
     size_t head_bytes = end == NULL ? reader->head.length : (size_t)(end - reader->head.data) + 4;
     if (head_bytes > reader->max_head_bytes) {
-        http_reader_fail(reader, HTTP_FAULT_HEAD_TOO_LARGE);
+        http_reader_fail(reader, HTTP_PARSE_ERROR_HEAD_TOO_LARGE);
         return length;
     }
     reader->head.length = head_bytes;
     if (end == NULL) {
         return length;
     }
-    if (!http_read_lines(reader)) {
-        http_reader_fail(reader, HTTP_FAULT_MALFORMED);
+    if (!http_parse_head(reader)) {
+        http_reader_fail(reader, HTTP_PARSE_ERROR_MALFORMED);
         return length;
     }
     size_t parsed = http_reader_execute(reader, reader->head.data, reader->head.length);
     if (!reader->head_done || parsed < reader->head.length - 1) {
-        http_reader_fail(reader, HTTP_FAULT_MALFORMED);
+        http_reader_fail(reader, HTTP_PARSE_ERROR_MALFORMED);
     }
     return head_bytes - before;
 }
@@ -284,9 +284,9 @@
 {
     size_t used = reader->head_done ? 0 : http_skip_line_ends(reader, data, length);
     if (!reader->head_done && used < length) {
-        used += http_reader_gather(reader, data + used, length - used);
+        used += http_reader_collect_head(reader, data + used, length - used);
     }
-    if (reader->head_done && !reader->complete && reader->fault == HTTP_FAULT_NONE && used < length) {
+    if (reader->head_done && !reader->complete && reader->error == HTTP_PARSE_ERROR_NONE && used < length) {
         used += http_reader_execute(reader, data + used, length - used);
     }
     return used;
@@ -294,7 +294,7 @@
 
 void http_reader_end(struct http_reader *reader)
 {
-    if (reader->complete || reader->fault != HTTP_FAULT_NONE) {
+    if (reader->complete || reader->error != HTTP_PARSE_ERROR_NONE) {
         return;
     }
     bool ends_here = reader->head_done && reader->until_close;
@@ -302,7 +302,7 @@
         http_parser_execute(&reader->parser, &http_reader_settings, NULL, 0);
     }
     if (!reader->complete) {
-        http_reader_fail(reader, HTTP_FAULT_CUT);
+        http_reader_fail(reader, HTTP_PARSE_ERROR_TRUNCATED);
     }
 }
 
@@ -324,13 +324,13 @@
     return header == NULL ? view_of(NULL, 0) : header->value;
 }
 
-bool http_reader_has(const struct http_reader *reader, const char *name)
+bool http_reader_has_header(const struct http_reader *reader, const char *name)
 {
     return http_reader_find(reader, name) != NULL;
 }
 
-/* Whether a comma-separated list holds a name. */
-static bool http_list_holds(struct view list, struct view name)
+/* Whether a comma-separated list contains a name, in any case. */
+static bool http_list_contains(struct view list, struct view name)
 {
     while (list.length > 0) {
         const uint8_t *comma = memchr(list.data, ',', list.length);
@@ -346,7 +346,7 @@
     return false;
 }
 
-bool http_reader_is_hop_header(const struct http_reader *reader, struct view name)
+bool http_reader_is_hop_by_hop(const struct http_reader *reader, struct view name)
 {
     static const char *const hop[] = {"Connection",
                                       "Keep-Alive",
@@ -365,15 +365,15 @@
         }
     }
     for (int i = 0; i < reader->header_count; i++) {
-        bool names = http_name_equal(reader->headers[i].name, "Connection");
-        if (names && http_list_holds(reader->headers[i].value, name)) {
+        bool is_connection = http_name_equal(reader->headers[i].name, "Connection");
+        if (is_connection && http_list_contains(reader->headers[i].value, name)) {
             return true;
         }
     }
     return false;
 }
 
-/* The value of `name` in a list of name=value, separated by semicolons. */
+/* The value of `name` in a list of name=value separated by semicolons; empty if it is absent. */
 static struct view http_find_cookie(struct view list, const char *name)
 {
     size_t length = strlen(name);
--- a/src/net/http_reader.h
+++ b/src/net/http_reader.h
@@ -1,9 +1,8 @@
 /**
  * @file http_reader.h
- * Reads one HTTP/1.1 message after the other from a byte stream, strictly:
- * what two parsers could read in two ways is a fault (RFC 9112). The head is
- * gathered whole and checked line by line; http-parser decides on framing and
- * decodes bodies.
+ * A strict streaming parser of HTTP/1.1 messages (RFC 9112): a message with
+ * ambiguous framing is malformed. The head is collected and checked line by line;
+ * http-parser determines the framing and decodes bodies.
  */
 #ifndef BANKBANK_NET_HTTP_READER_H
 #define BANKBANK_NET_HTTP_READER_H
@@ -15,80 +14,79 @@
 
 #include "base/buffer.h"
 
-enum { HTTP_READER_MAX_HEADERS = 128 /**< Header lines of one message. */ };
+enum { HTTP_READER_MAX_HEADERS = 128 };
 
-/** What ended reading. */
-enum http_fault {
-    HTTP_FAULT_NONE,           /**< Nothing. */
-    HTTP_FAULT_MALFORMED,      /**< The message breaks the protocol. */
-    HTTP_FAULT_HEAD_TOO_LARGE, /**< The head is over the limit. */
-    HTTP_FAULT_BODY_TOO_LARGE, /**< The body is over the limit. */
-    HTTP_FAULT_CUT             /**< The stream ended inside a message. */
+/** Why parsing stopped. */
+enum http_parse_error {
+    HTTP_PARSE_ERROR_NONE,
+    HTTP_PARSE_ERROR_MALFORMED, /**< Invalid or ambiguous, or rejected by a callback. */
+    HTTP_PARSE_ERROR_HEAD_TOO_LARGE,
+    HTTP_PARSE_ERROR_BODY_TOO_LARGE,
+    HTTP_PARSE_ERROR_TRUNCATED /**< The stream ended inside a message. */
 };
 
-/** One header line; views into the reader's head. */
+/** One header line; the views point into the reader's head. */
 struct http_header {
-    struct view name;  /**< As written. */
-    struct view value; /**< Without blanks around it. */
+    struct view name;  /**< In its original case. */
+    struct view value; /**< Without surrounding whitespace. */
 };
 
 struct http_reader;
 
-/** Receives a message; a function that returns false stops the reading with HTTP_FAULT_MALFORMED. */
+/** Callbacks of a message; returning false stops parsing with HTTP_PARSE_ERROR_MALFORMED. */
 struct http_reader_events {
-    void *context;                                                             /**< First argument of every function. */
-    bool (*head)(void *context, struct http_reader *reader);                   /**< The head is whole. */
-    bool (*body)(void *context, struct http_reader *reader, struct view part); /**< Decoded part of the body. */
-    bool (*complete)(void *context, struct http_reader *reader);               /**< The message is whole. */
+    void *context; /**< First argument of every callback. */
+    bool (*head)(void *context, struct http_reader *reader);
+    bool (*body)(void *context, struct http_reader *reader, struct view part); /**< A decoded part of the body. */
+    bool (*complete)(void *context, struct http_reader *reader);
 };
 
-/** The reader. */
+/** Parser state; the caller sets the members up to `skip_body`, then calls http_reader_reset(). */
 struct http_reader {
-    enum http_parser_type type;                          /**< HTTP_REQUEST or HTTP_RESPONSE. */
-    struct http_reader_events events;                    /**< Receiver. */
-    size_t max_head_bytes;                               /**< Limit of the head. */
-    size_t max_body_bytes;                               /**< Limit of the decoded body. */
-    bool skip_body;                                      /**< Answer to HEAD: there is no body. */
-    http_parser parser;                                  /**< State of http-parser. */
-    struct buffer head;                                  /**< The whole head. */
-    bool head_done;                                      /**< The head was told. */
-    bool complete;                                       /**< The message was told complete. */
-    struct http_header headers[HTTP_READER_MAX_HEADERS]; /**< Its lines. */
-    int header_count;                                    /**< Number of lines. */
-    struct view method;                                  /**< Request: method. */
-    struct view target;                                  /**< Request: target. */
-    int status;                                          /**< Answer: status. */
-    bool keep_alive;                                     /**< The connection may carry another message. */
-    bool until_close;                                    /**< Answer: its body ends with the connection. */
-    size_t body_bytes;                                   /**< Decoded bytes so far. */
-    enum http_fault fault;                               /**< What ended reading. */
+    enum http_parser_type type; /**< HTTP_REQUEST or HTTP_RESPONSE. */
+    struct http_reader_events events;
+    size_t max_head_bytes;
+    size_t max_body_bytes; /**< Limit of the decoded body. */
+    bool skip_body;        /**< Response to HEAD: there is no body. */
+    http_parser parser;
+    struct buffer head; /**< Bytes of the head. */
+    bool head_done;     /**< The head is complete and its framing is valid. */
+    bool complete;
+    struct http_header headers[HTTP_READER_MAX_HEADERS];
+    int header_count;
+    struct view method; /**< Requests only. */
+    struct view target; /**< Requests only. */
+    int status;         /**< Responses only. */
+    bool keep_alive;    /**< The connection may carry another message. */
+    bool until_close;   /**< The body of a response ends with the connection. */
+    size_t body_bytes;  /**< Decoded bytes of the body so far. */
+    enum http_parse_error error;
 };
 
-/** Prepares for the next message; keeps type, events and limits. */
+/** Prepares for the next message; keeps type, callbacks and limits. */
 void http_reader_reset(struct http_reader *reader);
 
-/** Frees the storage. */
 void http_reader_close(struct http_reader *reader);
 
-/** Feeds bytes up to the end of the message; returns how many were used. See `fault` and `complete`. */
+/** Parses bytes up to the end of the message; returns the number consumed. Sets `error` and `complete`. */
 size_t http_reader_feed(struct http_reader *reader, const uint8_t *data, size_t length);
 
-/** The stream ended in order; completes an answer whose body ends with it, else HTTP_FAULT_CUT. */
+/** Handles an orderly end of the stream: completes a response whose body ends with it, else sets
+ * HTTP_PARSE_ERROR_TRUNCATED unless there was an error. */
 void http_reader_end(struct http_reader *reader);
 
-/** Value of a header, or an empty view; the first one if there are several. */
+/** Value of the first header with this name, or an empty view. */
 struct view http_reader_header(const struct http_reader *reader, const char *name);
 
-/** Whether a header is there. */
-bool http_reader_has(const struct http_reader *reader, const char *name);
+bool http_reader_has_header(const struct http_reader *reader, const char *name);
 
-/** Value of a cookie (RFC 6265), or an empty view; the first one if there are several. */
+/** Value of the first cookie with this name (RFC 6265); if it is empty, later Cookie headers are searched. */
 struct view http_reader_cookie(const struct http_reader *reader, const char *name);
 
-/** Whether two texts are equal but for the case of letters. */
+/** Case-insensitive. */
 bool http_name_equal(struct view name, const char *text);
 
-/** Whether a header concerns one connection only: known ones, and those that Connection names. */
-bool http_reader_is_hop_header(const struct http_reader *reader, struct view name);
+/** Whether a header is hop-by-hop: a standard one, or listed in Connection. Content-Length and Expect count as such. */
+bool http_reader_is_hop_by_hop(const struct http_reader *reader, struct view name);
 
 #endif
--- a/src/net/http_answer.c
+++ b/src/net/http_response.c
@@ -1,4 +1,4 @@
-/* Writing answers of calls, and what a connection does behind them. */
+/* Writes responses; then prepares the connection for the next request, or closes it. */
 #include "net/http_connection.h"
 
 #include <stdio.h>
@@ -6,10 +6,9 @@
 #include <string.h>
 #include <sys/socket.h>
 
-/* A write under way. */
 struct http_write {
     uv_write_t request;
-    uint8_t *data;
+    uint8_t *data; /* owned copy */
 };
 
 /* ---- Writing --------------------------------------------------------------------------- */
@@ -21,11 +20,12 @@
     free(write->data);
     free(write);
     if (status < 0 && status != UV_ECANCELED) {
-        http_connection_lost(connection);
+        http_connection_on_disconnect(connection);
         return;
     }
     const struct http_handler *handler = &connection->listener->handler;
-    bool drained = status == 0 && connection->state == HTTP_ANSWERING && http_call_pending(&connection->call) == 0;
+    bool drained =
+        status == 0 && connection->state == HTTP_RESPONDING && http_call_unsent_bytes(&connection->call) == 0;
     if (drained && handler->drained != NULL) {
         handler->drained(handler->context, &connection->call);
     }
@@ -40,13 +40,13 @@
     if (written < 0) {
         written = 0;
     }
-    size_t left = data.length - (size_t)written;
-    if (left == 0) {
+    size_t remaining = data.length - (size_t)written;
+    if (remaining == 0) {
         return;
     }
     struct http_write *write = memory_new(sizeof(*write));
-    write->data = (uint8_t *)memory_copy(data.data + written, left);
-    part = uv_buf_init((char *)write->data, (unsigned)left);
+    write->data = (uint8_t *)memory_copy(data.data + written, remaining);
+    part = uv_buf_init((char *)write->data, (unsigned)remaining);
     if (uv_write(&write->request, (uv_stream_t *)&connection->socket, &part, 1, http_on_written) != 0) {
         free(write->data);
         free(write);
@@ -59,11 +59,10 @@
     free(request);
 }
 
-/* Ends the sending side and waits for the client's end, so that no reset overtakes the answer. */
 void http_connection_linger(struct http_connection *connection)
 {
     connection->state = HTTP_LINGERING;
-    connection->since_ms = uv_now(connection->listener->loop);
+    connection->state_since_ms = uv_now(connection->listener->loop);
     uv_shutdown_t *request = memory_new(sizeof(*request));
     if (uv_shutdown(request, (uv_stream_t *)&connection->socket, http_on_shutdown) != 0) {
         free(request);
@@ -71,7 +70,6 @@
     }
 }
 
-/* The answer is written: the next request may come. */
 void http_connection_finish(struct http_connection *connection)
 {
     if (connection->close_after) {
@@ -79,21 +77,21 @@
         return;
     }
     connection->state = HTTP_READING;
-    connection->since_ms = uv_now(connection->listener->loop);
-    connection->arriving = connection->ahead.length > 0;
-    connection->came_ms = connection->newest_ms; /* what was sent ahead came with the newest bytes at the latest */
+    connection->state_since_ms = uv_now(connection->listener->loop);
+    connection->receiving = connection->input.length > 0;
+    connection->received_ms = connection->last_received_ms; /* pipelined bytes arrived no later than the latest bytes */
     buffer_close(&connection->call.body);
     memset(&connection->call, 0, sizeof(connection->call));
     connection->call.connection = connection;
     connection->call.request = &connection->reader;
     http_reader_reset(&connection->reader);
     uv_read_start((uv_stream_t *)&connection->socket, connection->socket.alloc_cb, connection->socket.read_cb);
-    if (!connection->handling) {
+    if (!connection->processing) {
         http_connection_advance(connection);
     }
 }
 
-/* ---- Answers ------------------------------------------------------------------------------ */
+/* ---- Responses ---------------------------------------------------------------------------- */
 
 static const char *http_status_text(int status)
 {
@@ -122,8 +120,8 @@
     }
 }
 
-void http_call_reply(struct http_call *call, int status, const char *headers, const char *content_type,
-                     struct view body)
+void http_call_send_response(struct http_call *call, int status, const char *headers, const char *content_type,
+                             struct view body)
 {
     struct http_connection *connection = call->connection;
     struct buffer out = {0};
@@ -145,10 +143,10 @@
     http_connection_finish(connection);
 }
 
-void http_call_begin(struct http_call *call, int status, struct view headers)
+void http_call_start_response(struct http_call *call, int status, struct view headers)
 {
     struct buffer out = {0};
-    /* A client of HTTP/1.0 knows no chunks: its answer ends with the connection. */
+    /* HTTP/1.0 has no chunked encoding: the response ends with the connection. */
     call->chunked = call->request->parser.http_minor >= 1;
     call->connection->close_after = call->connection->close_after || !call->chunked;
     http_write_status(call, status, headers, &out);
@@ -158,7 +156,7 @@
     buffer_close(&out);
 }
 
-void http_call_data(struct http_call *call, struct view data)
+void http_call_send_data(struct http_call *call, struct view data)
 {
     if (data.length == 0) {
         return;
@@ -175,7 +173,7 @@
     buffer_close(&out);
 }
 
-void http_call_end(struct http_call *call)
+void http_call_end_response(struct http_call *call)
 {
     if (call->chunked) {
         http_connection_write(call->connection, view_of_string("0\r\n\r\n"));
@@ -183,15 +181,15 @@
     http_connection_finish(call->connection);
 }
 
-void http_call_cut(struct http_call *call)
+void http_call_abort_response(struct http_call *call)
 {
     struct http_connection *connection = call->connection;
-    /* An answer that ends with its connection looks cut only by a reset. */
+    /* If the response ends with its connection, only a reset shows that it is incomplete. */
     if (call->head_sent && !call->chunked) {
-        uv_os_fd_t file;
+        uv_os_fd_t fd;
         struct linger reset = {.l_onoff = 1, .l_linger = 0};
-        if (uv_fileno((uv_handle_t *)&connection->socket, &file) == 0) {
-            setsockopt(file, SOL_SOCKET, SO_LINGER, &reset, sizeof(reset));
+        if (uv_fileno((uv_handle_t *)&connection->socket, &fd) == 0) {
+            setsockopt(fd, SOL_SOCKET, SO_LINGER, &reset, sizeof(reset));
         }
         http_connection_close(connection);
         return;
@@ -204,7 +202,7 @@
     call->connection->close_after = true;
 }
 
-size_t http_call_pending(const struct http_call *call)
+size_t http_call_unsent_bytes(const struct http_call *call)
 {
     return uv_stream_get_write_queue_size((const uv_stream_t *)&call->connection->socket);
 }
--- a/src/net/json_entries.c
+++ b/src/net/json_entries.c
@@ -3,11 +3,10 @@
 #include "base/buffer.h"
 #include "net/json_input.h"
 
-enum { JSON_FIRST_PRINTED = 0x20, JSON_FIRST_BEYOND_ASCII = 0x80 };
+enum { JSON_FIRST_PRINTABLE = 0x20, JSON_FIRST_NON_ASCII = 0x80 };
 
-/* ---- Bounds ------------------------------------------------------------------------------- */
+/* ---- Delimiters --------------------------------------------------------------------------- */
 
-/* Where a text stands in brackets and strings. */
 typedef struct json_scan_t {
     size_t depth;
     bool in_string;
@@ -30,7 +29,7 @@
     }
 }
 
-static bool json_scan_is_out(const json_scan_t *scan)
+static bool json_scan_is_top_level(const json_scan_t *scan)
 {
     return scan->depth == 0 && !scan->in_string;
 }
@@ -48,42 +47,40 @@
     return at;
 }
 
-/* The bracket that closes the one at `at`; text.length: there is none. */
-size_t json_closing(struct view text, size_t at)
+size_t json_find_closing_bracket(struct view text, size_t at)
 {
     json_scan_t scan = {0};
     for (; at < text.length; at++) {
         json_scan_byte(&scan, text.data[at]);
-        if (json_scan_is_out(&scan)) {
+        if (json_scan_is_top_level(&scan)) {
             return at;
         }
     }
     return text.length;
 }
 
-/* The comma behind the value at `at`, or the end of the text; `closed`: all its brackets and strings are. */
-size_t json_value_end(struct view text, size_t at, bool *closed)
+size_t json_find_value_end(struct view text, size_t at, bool *closed)
 {
     json_scan_t scan = {0};
     for (; at < text.length; at++) {
-        if (text.data[at] == ',' && json_scan_is_out(&scan)) {
+        if (text.data[at] == ',' && json_scan_is_top_level(&scan)) {
             break;
         }
         json_scan_byte(&scan, text.data[at]);
     }
-    *closed = json_scan_is_out(&scan);
+    *closed = json_scan_is_top_level(&scan);
     return at;
 }
 
 /* ---- Entries ------------------------------------------------------------------------------ */
 
-static struct view json_part(struct view text, size_t from, size_t to)
+static struct view json_slice(struct view text, size_t from, size_t to)
 {
     return view_of(text.data + from, to - from);
 }
 
-/* One value, as the only item of a list; NULL: it is none. */
-static json_t *json_parse_value(struct view value, bool as_ascii, enum json_input_fault *fault)
+/* Parses a value; returns NULL if it is malformed. With `as_ascii`, control and non-ASCII bytes are replaced first. */
+static json_t *json_parse_value(struct view value, bool as_ascii, enum json_input_error_kind *kind)
 {
     struct buffer text = {0};
     struct json_input_error error;
@@ -91,22 +88,22 @@
     buffer_append(&text, value.data, value.length);
     for (size_t i = 1; as_ascii && i < text.length; i++) {
         uint8_t byte = text.data[i];
-        text.data[i] = byte < JSON_FIRST_PRINTED ? ' ' : byte >= JSON_FIRST_BEYOND_ASCII ? '?' : byte;
+        text.data[i] = byte < JSON_FIRST_PRINTABLE ? ' ' : byte >= JSON_FIRST_NON_ASCII ? '?' : byte;
     }
     buffer_append(&text, "]", 1);
     json_t *items = json_input_parse(buffer_view(&text), &error);
-    *fault = error.fault;
+    *kind = error.kind;
     buffer_close(&text);
     json_t *item = json_array_size(items) == 1 ? json_incref(json_array_get(items, 0)) : NULL;
     json_decref(items);
     return item;
 }
 
-/* Whether a closed value that cannot be read has bounds all the same: only its texts or its depth are at fault. */
-static bool json_has_bounds(struct view value, enum json_input_fault fault)
+/* Whether the end of a closed, malformed value is reliable: only its strings or its depth are invalid. */
+static bool json_has_known_end(struct view value, enum json_input_error_kind kind)
 {
-    enum json_input_fault ignored;
-    if (fault == JSON_INPUT_TOO_DEEP) {
+    enum json_input_error_kind ignored;
+    if (kind == JSON_INPUT_TOO_DEEP) {
         return true;
     }
     json_t *item = json_parse_value(value, true, &ignored);
@@ -114,68 +111,69 @@
     return item != NULL;
 }
 
-static void json_spend(size_t *budget, size_t bytes)
+static void json_consume_budget(size_t *budget, size_t bytes)
 {
     *budget = *budget > bytes ? *budget - bytes : 0;
 }
 
-/* Whether a whole entry begins at `at`, behind a broken one. */
-static bool json_entry_begins(struct view text, size_t at, size_t *budget)
+/* Whether a valid object begins at `at`, after a malformed entry. */
+static bool json_is_entry_at(struct view text, size_t at, size_t *budget)
 {
-    enum json_input_fault ignored;
+    enum json_input_error_kind ignored;
     bool closed;
-    size_t most = text.length - at < JSON_ENTRIES_ENTRY_MOST ? text.length - at : JSON_ENTRIES_ENTRY_MOST;
-    size_t end = json_value_end(json_part(text, at, at + most), 0, &closed);
-    json_spend(budget, end);
+    size_t max_bytes =
+        text.length - at < JSON_ENTRIES_MAX_ENTRY_BYTES ? text.length - at : JSON_ENTRIES_MAX_ENTRY_BYTES;
+    size_t end = json_find_value_end(json_slice(text, at, at + max_bytes), 0, &closed);
+    json_consume_budget(budget, end);
     if (!closed) {
         return false;
     }
-    json_t *item = json_parse_value(json_part(text, at, at + end), false, &ignored);
-    bool begins = json_is_object(item);
+    json_t *item = json_parse_value(json_slice(text, at, at + end), false, &ignored);
+    bool is_entry = json_is_object(item);
     json_decref(item);
-    return begins;
+    return is_entry;
 }
 
-/* The entry that ends a broken one, which begins at `at` and takes in all up to `end`; `end`: there is none. */
-static size_t json_next_entry(struct view text, size_t at, size_t end, size_t *budget)
+/* Position of the first valid entry between `at`, the start of a malformed one, and `end`; `end` if there is none. */
+static size_t json_find_next_entry(struct view text, size_t at, size_t end, size_t *budget)
 {
-    bool behind_comma = false;
+    bool after_comma = false;
     for (; at < end && budget[0] > 0; at++) {
         uint8_t byte = text.data[at];
-        if (behind_comma && byte == '{' && json_entry_begins(text, at, budget)) {
+        if (after_comma && byte == '{' && json_is_entry_at(text, at, budget)) {
             return at;
         }
-        behind_comma = byte == ',' || (behind_comma && json_is_space(byte));
+        after_comma = byte == ',' || (after_comma && json_is_space(byte));
     }
     return end;
 }
 
-/* Hands out the value at `at`, and moves behind it; false: no more are wanted. */
-static bool json_read_value(struct view text, size_t *at, size_t *budget, const json_entries_taker_t *taker)
+/* Visits the value at `at` and advances past it; returns false if the visitor stopped. */
+static bool json_visit_value(struct view text, size_t *at, size_t *budget, const json_entries_visitor_t *visitor)
 {
-    enum json_input_fault fault = JSON_INPUT_MALFORMED;
+    enum json_input_error_kind kind = JSON_INPUT_MALFORMED;
     bool closed;
-    size_t end = json_value_end(text, *at, &closed);
+    size_t end = json_find_value_end(text, *at, &closed);
     size_t next = end;
-    struct view value = json_part(text, *at, end);
-    json_t *entry = closed ? json_parse_value(value, false, &fault) : NULL;
-    bool more = taker->take(taker->context, entry);
+    struct view value = json_slice(text, *at, end);
+    json_t *entry = closed ? json_parse_value(value, false, &kind) : NULL;
+    bool more = visitor->visit(visitor->context, entry);
     if (entry == NULL) {
-        json_spend(budget, value.length);
-        next = closed && json_has_bounds(value, fault) ? end : json_next_entry(text, *at, end, budget);
+        json_consume_budget(budget, value.length);
+        next = closed && json_has_known_end(value, kind) ? end : json_find_next_entry(text, *at, end, budget);
     }
     json_decref(entry);
     *at = next < end ? next : end + 1;
     return more;
 }
 
-bool json_entries_read(struct view text, const json_entries_taker_t *taker)
+bool json_entries_read(struct view text, const json_entries_visitor_t *visitor)
 {
-    size_t budget = JSON_ENTRIES_SEARCH_BYTES;
+    size_t budget = JSON_ENTRIES_MAX_SEARCH_BYTES;
     size_t at = json_skip_space(text, 0);
     bool more = true;
     while (more && at < text.length && budget > 0) {
-        more = json_read_value(text, &at, &budget, taker);
+        more = json_visit_value(text, &at, &budget, visitor);
         at = json_skip_space(text, at);
     }
     return more && budget > 0;
--- a/src/net/json_entries.h
+++ b/src/net/json_entries.h
@@ -1,9 +1,9 @@
 /**
  * @file json_entries.h
- * The entries of a JSON list of which some may be damaged: each is found by its
- * bounds in the text and parsed by itself, so that one that cannot be read takes
- * no other one with it. Where one is so broken that it has no bounds, the next
- * object behind a comma that can be read ends it. Pure.
+ * Reads the entries of a JSON list of which some may be malformed. Entries are
+ * delimited by brackets and commas and parsed separately, so that a malformed
+ * one does not affect the others. If the end of a malformed entry cannot be
+ * determined, it ends at the next valid object after a comma.
  */
 #ifndef BANKBANK_NET_JSON_ENTRIES_H
 #define BANKBANK_NET_JSON_ENTRIES_H
@@ -16,28 +16,27 @@
 #include "base/view.h"
 
 enum {
-    JSON_ENTRIES_ENTRY_MOST = 16 << 10,  /**< Bytes of an entry behind a broken one. */
-    JSON_ENTRIES_SEARCH_BYTES = 16 << 20 /**< Bytes of a list that are looked at for the ends of broken entries. */
+    JSON_ENTRIES_MAX_ENTRY_BYTES = 16 << 10, /**< Largest entry recognized after a malformed one. */
+    JSON_ENTRIES_MAX_SEARCH_BYTES = 16 << 20 /**< Bytes of a list scanned for the ends of malformed entries. */
 };
 
-/** Receives the entries. */
-typedef struct json_entries_taker_t {
-    void *context; /**< First argument of `take`. */
-    /** Takes an entry, lent for the call; NULL: one that cannot be read. False: no more are wanted. */
-    bool (*take)(void *context, const json_t *entry);
-} json_entries_taker_t;
+typedef struct json_entries_visitor_t {
+    void *context; /**< First argument of `visit`. */
+    /** Receives an entry, borrowed for the call, or NULL for a malformed one. Returns false to stop. */
+    bool (*visit)(void *context, const json_t *entry);
+} json_entries_visitor_t;
 
-/** Hands out all entries of a list, given without its brackets; false: too much of it is broken, or no more were
- * wanted. */
-bool json_entries_read(struct view text, const json_entries_taker_t *taker);
+/** Visits the entries of a list, given without its brackets. Returns false if the visitor stopped or
+ * JSON_ENTRIES_MAX_SEARCH_BYTES are used up. */
+bool json_entries_read(struct view text, const json_entries_visitor_t *visitor);
 
-/** The first byte from `at` on that is no white space; text.length: there is none. */
+/** Position of the first byte from `at` that is not whitespace, or text.length. */
 size_t json_skip_space(struct view text, size_t at);
 
-/** The bracket that closes the one at `at`; text.length: there is none. */
-size_t json_closing(struct view text, size_t at);
+/** Position of the bracket that closes the one at `at`, or text.length. Does not check that their kinds match. */
+size_t json_find_closing_bracket(struct view text, size_t at);
 
-/** The comma behind the value at `at`, or the end of the text; `closed`: all its brackets and strings are. */
-size_t json_value_end(struct view text, size_t at, bool *closed);
+/** Position of the comma after the value at `at`, or text.length; `closed`: its brackets and strings are closed. */
+size_t json_find_value_end(struct view text, size_t at, bool *closed);
 
 #endif
--- a/src/net/json_input.h
+++ b/src/net/json_input.h
@@ -1,8 +1,8 @@
 /**
  * @file json_input.h
- * The one way in which JSON from outside is parsed. jansson recurses once a
- * level of nesting, and allows 2,048 levels, which is more than the stack of a
- * server thread holds; so deep nesting is refused before it parses.
+ * Parses JSON from untrusted sources. Deep nesting is rejected before parsing:
+ * jansson recurses up to 2,048 levels, which overflows the stack of a server
+ * thread.
  */
 #ifndef BANKBANK_NET_JSON_INPUT_H
 #define BANKBANK_NET_JSON_INPUT_H
@@ -12,24 +12,23 @@
 #include "base/view.h"
 
 enum {
-    JSON_INPUT_MAX_DEPTH = 64, /**< Levels of arrays and objects. */
-    JSON_INPUT_ERROR_MAX = 256 /**< Bytes of an error text. */
+    JSON_INPUT_MAX_DEPTH = 64, /**< Of arrays and objects. */
+    JSON_INPUT_ERROR_MAX = 256 /**< Size of an error text. */
 };
 
-/** Why a text was refused. */
-enum json_input_fault {
-    JSON_INPUT_OK,       /**< It was not. */
+/** Why a text was rejected. */
+enum json_input_error_kind {
+    JSON_INPUT_OK,
     JSON_INPUT_TOO_DEEP, /**< More than JSON_INPUT_MAX_DEPTH levels. */
-    JSON_INPUT_MALFORMED /**< Not valid JSON, or a key stands twice. */
+    JSON_INPUT_MALFORMED /**< Invalid JSON, or a duplicate key. */
 };
 
-/** Result of parsing. */
 struct json_input_error {
-    enum json_input_fault fault;     /**< Kind. */
-    char text[JSON_INPUT_ERROR_MAX]; /**< For people, with the place. */
+    enum json_input_error_kind kind;
+    char text[JSON_INPUT_ERROR_MAX]; /**< Human-readable. */
 };
 
-/** Parses a whole text; NULL on failure, with `error` (may be NULL) filled. The caller releases the result. */
+/** Returns NULL on failure and fills `error`, which may be NULL. The caller releases the result. */
 json_t *json_input_parse(struct view text, struct json_input_error *error);
 
 #endif
