--- a/src/net/link_counts.c
+++ b/src/net/link_counts.c
@@ -4,8 +4,8 @@
 
 enum { WIRE_TYPE_BITS = 3, VARINT_MORE = 0x80 };
 
-/* Frame is its group, which may be left out, and then the payload: one key tells its kind. */
-int link_kind(struct view frame)
+/* An encoded Frame is an optional group field followed by the payload, whose field number is the kind. */
+int link_frame_kind(struct view frame)
 {
     static const uint8_t group_key = Frame_group_tag << WIRE_TYPE_BITS;
     size_t at = 0;
@@ -17,19 +17,19 @@
         at++;
     }
     int kind = at < frame.length ? frame.data[at] >> WIRE_TYPE_BITS : 0;
-    return kind < LINK_KINDS ? kind : 0;
+    return kind < LINK_FRAME_KINDS ? kind : 0;
 }
 
-void link_counts_note(link_counts_t *counts, struct view frame)
+void link_counts_add(link_counts_t *counts, struct view frame)
 {
-    link_count_t *count = &counts->kinds[link_kind(frame)];
+    link_count_t *count = &counts->kinds[link_frame_kind(frame)];
     count->frames++;
     count->bytes += frame.length;
 }
 
-const char *link_kind_name(int kind)
+const char *link_frame_kind_name(int kind)
 {
-    static const char *const names[LINK_KINDS] = {
+    static const char *const names[LINK_FRAME_KINDS] = {
         [0] = "unknown",
         [Frame_hello_tag] = "hello",
         [Frame_raft_tag] = "raft",
@@ -42,6 +42,6 @@
         [Frame_load_report_tag] = "load_report",
         [Frame_load_totals_tag] = "load_totals",
     };
-    const char *name = kind >= 0 && kind < LINK_KINDS ? names[kind] : NULL;
+    const char *name = kind >= 0 && kind < LINK_FRAME_KINDS ? names[kind] : NULL;
     return name == NULL ? names[0] : name;
 }
--- a/src/net/link_counts.h
+++ b/src/net/link_counts.h
@@ -1,33 +1,31 @@
 /**
  * @file link_counts.h
- * Counts the frames between daemons and their bytes by kind, so that a
- * process at its limit shows which messages take it there.
+ * Counts the frames between daemons and their bytes by kind.
  */
 #ifndef BANKBANK_NET_LINK_COUNTS_H
 #define BANKBANK_NET_LINK_COUNTS_H
 
 #include "base/view.h"
 
-enum { LINK_KINDS = 12 /**< Kinds are the tags of Frame's payload; 0: none that is known. */ };
+enum { LINK_FRAME_KINDS = 12 /**< Kinds are the tags of Frame's payload; 0: unknown. */ };
 
-/** Frames of a kind. */
 typedef struct link_count_t {
-    uint64_t frames; /**< Number. */
-    uint64_t bytes;  /**< Encoded bytes, without the length before each frame. */
+    uint64_t frames;
+    uint64_t bytes; /**< Without the length prefixes. */
 } link_count_t;
 
-/** Frames of all kinds in one direction; all zero: none. */
+/** Counters of one direction; initially all zero. */
 typedef struct link_counts_t {
-    link_count_t kinds[LINK_KINDS]; /**< By kind. */
+    link_count_t kinds[LINK_FRAME_KINDS];
 } link_counts_t;
 
 /** Counts an encoded Frame. */
-void link_counts_note(link_counts_t *counts, struct view frame);
+void link_counts_add(link_counts_t *counts, struct view frame);
 
-/** Kind of an encoded Frame, without decoding it; 0: none that is known. */
-int link_kind(struct view frame);
+/** Kind of an encoded Frame, read without decoding it; 0 if unknown. */
+int link_frame_kind(struct view frame);
 
-/** Name of a kind, for metrics and logs. */
-const char *link_kind_name(int kind);
+/** For metrics and logs; "unknown" for 0 and for a kind that is not in use. */
+const char *link_frame_kind_name(int kind);
 
 #endif
--- a/src/net/links.c
+++ b/src/net/links.c
@@ -1,4 +1,4 @@
-/* Connections between daemons: their index, what is sent, their end. */
+/* Connections between daemons: index by node, sending, closing. */
 #include "net/links_internal.h"
 
 #include <errno.h>
@@ -18,22 +18,21 @@
 
 void links_register(struct links *links, struct link *link, int operation)
 {
-    const struct links_watcher *watcher = links->config.watcher;
-    if (watcher != NULL && operation == EPOLL_CTL_ADD) {
-        link->watch = watcher->watch(watcher->context, links, link, link->file);
-        watcher->want_write(link->watch, link->wants_write);
+    const struct links_event_loop *loop = links->config.event_loop;
+    if (loop != NULL && operation == EPOLL_CTL_ADD) {
+        link->watch = loop->watch(loop->context, links, link, link->fd);
+        loop->want_write(link->watch, link->wants_write);
         return;
     }
-    if (watcher != NULL) {
-        watcher->want_write(link->watch, link->wants_write);
+    if (loop != NULL) {
+        loop->want_write(link->watch, link->wants_write);
         return;
     }
     struct epoll_event event = {.events = EPOLLIN | (link->wants_write ? EPOLLOUT : 0), .data.ptr = link};
-    epoll_ctl(links->epoll, operation, link->file, &event);
+    epoll_ctl(links->epoll, operation, link->fd, &event);
 }
 
-/* A flush looks at the links that have something to write, not at all. */
-static void link_note_pending(struct links *links, struct link *link)
+static void link_add_pending(struct links *links, struct link *link)
 {
     if (!link->pending) {
         link->pending = true;
@@ -42,28 +41,28 @@
     }
 }
 
-static void link_drop_pending(struct links *links, struct link *link)
+static void link_remove_pending(struct links *links, struct link *link)
 {
-    struct link **place = &links->pending;
-    while (link->pending && *place != link) {
-        place = &(*place)->next_pending;
+    struct link **slot = &links->pending;
+    while (link->pending && *slot != link) {
+        slot = &(*slot)->next_pending;
     }
     if (link->pending) {
-        *place = link->next_pending;
+        *slot = link->next_pending;
         link->pending = false;
     }
 }
 
 void link_queue(struct links *links, struct link *link, struct view frame)
 {
-    uint8_t header[LINKS_HEADER];
-    link_note_pending(links, link);
-    for (int i = 0; i < LINKS_HEADER; i++) {
+    uint8_t header[LINKS_HEADER_BYTES];
+    link_add_pending(links, link);
+    for (int i = 0; i < LINKS_HEADER_BYTES; i++) {
         header[i] = (uint8_t)(frame.length >> (8 * i));
     }
     buffer_append(&link->out, header, sizeof(header));
     buffer_append(&link->out, frame.data, frame.length);
-    links->queued += sizeof(header) + frame.length;
+    links->queued_bytes += sizeof(header) + frame.length;
     link->out_peak = link->out.length > link->out_peak ? link->out.length : link->out_peak;
 }
 
@@ -73,9 +72,9 @@
     links->config = *config;
     links->handler = *handler;
     links->listener = -1;
-    links->epoll = config->watcher != NULL ? -1 : epoll_create1(EPOLL_CLOEXEC);
+    links->epoll = config->event_loop != NULL ? -1 : epoll_create1(EPOLL_CLOEXEC);
     if (!config->listens) {
-        return config->watcher != NULL || links->epoll >= 0;
+        return config->event_loop != NULL || links->epoll >= 0;
     }
     int on = 1;
     links->listener = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
@@ -88,9 +87,9 @@
                  config->listen.port, strerror(errno));
         return false;
     }
-    if (config->watcher != NULL) {
+    if (config->event_loop != NULL) {
         links->listener_watch =
-            config->watcher->watch(config->watcher->context, links, &links->listener, links->listener);
+            config->event_loop->watch(config->event_loop->context, links, &links->listener, links->listener);
         return true;
     }
     struct epoll_event event = {.events = EPOLLIN, .data.ptr = &links->listener};
@@ -98,16 +97,16 @@
     return true;
 }
 
-void links_watch(struct links *links, int file)
+void links_watch_fd(struct links *links, int fd)
 {
     struct epoll_event event = {.events = EPOLLIN, .data.ptr = NULL};
-    epoll_ctl(links->epoll, EPOLL_CTL_ADD, file, &event);
+    epoll_ctl(links->epoll, EPOLL_CTL_ADD, fd, &event);
 }
 
 /* ---- Sending ------------------------------------------------------------------------ */
 
-/* The link that frames to a node take: one that this side dialled, else the newest. */
-static struct link *links_choose(const struct links *links, uint32_t node)
+/* The link for sending to a node: one that this side dialled, else the newest. */
+static struct link *links_preferred(const struct links *links, uint32_t node)
 {
     struct link *found = NULL;
     for (struct link *link = links->all; link != NULL; link = link->next) {
@@ -118,11 +117,10 @@
     return found;
 }
 
-/* Chooses anew once a link of the node has come or goes: a frame then finds its link without a walk through all. */
-void links_index(struct links *links, uint32_t node)
+void links_update_index(struct links *links, uint32_t node)
 {
     struct link *old = NULL;
-    struct link *chosen = links_choose(links, node);
+    struct link *chosen = links_preferred(links, node);
     HASH_FIND(hh, links->by_node, &node, sizeof(node), old);
     if (old == chosen) {
         return;
@@ -140,7 +138,7 @@
     struct link *found = NULL;
     HASH_FIND(hh, links->by_node, &node, sizeof(node), found);
     if (found != NULL && found->closing) {
-        links_index(links, node);
+        links_update_index(links, node);
         HASH_FIND(hh, links->by_node, &node, sizeof(node), found);
     }
     return found;
@@ -149,19 +147,19 @@
 bool links_send(struct links *links, uint32_t node, struct view frame)
 {
     struct link *link = links_find(links, node);
-    size_t most = links->config.queued_most == 0 ? LINKS_MAX_QUEUED : links->config.queued_most;
+    size_t max = links->config.max_queued_bytes == 0 ? LINKS_MAX_QUEUED_BYTES : links->config.max_queued_bytes;
     if (link == NULL) {
         return false;
     }
-    /* An empty queue takes any frame: a bound that is smaller than one would stop the peer for good. */
-    if (link->out.length > link->out_sent && links->queued + frame.length > most) {
+    /* An empty queue accepts any frame; otherwise a frame larger than the limit could never be sent. */
+    if (link->out.length > link->out_sent && links->queued_bytes + frame.length > max) {
         links->frames_refused++;
         return false;
     }
     link_queue(links, link, frame);
     links->frames_out++;
-    link_counts_note(&links->counts_out, frame);
-    links->bytes_out += frame.length + LINKS_HEADER;
+    link_counts_add(&links->counts_out, frame);
+    links->bytes_out += frame.length + LINKS_HEADER_BYTES;
     return true;
 }
 
@@ -169,7 +167,7 @@
 {
     while (!link->connecting && link->out_sent < link->out.length) {
         ssize_t written =
-            send(link->file, link->out.data + link->out_sent, link->out.length - link->out_sent, MSG_NOSIGNAL);
+            send(link->fd, link->out.data + link->out_sent, link->out.length - link->out_sent, MSG_NOSIGNAL);
         if (written < 0 && errno == EINTR) {
             continue;
         }
@@ -178,7 +176,7 @@
             break;
         }
         link->out_sent += (size_t)written;
-        links->queued -= (size_t)written;
+        links->queued_bytes -= (size_t)written;
     }
     if (link->out_sent == link->out.length) {
         buffer_clear(&link->out);
@@ -191,12 +189,11 @@
     }
 }
 
-/* What a link does not take now, or before it has connected, is written once it tells that it can be. */
 void links_flush(struct links *links)
 {
     while (links->pending != NULL) {
         struct link *link = links->pending;
-        link_drop_pending(links, link);
+        link_remove_pending(links, link);
         if (!link->closing && !link->connecting) {
             link_write(links, link);
         }
@@ -208,7 +205,7 @@
     if (link->connecting && (events & (EPOLLOUT | EPOLLERR | EPOLLHUP)) != 0) {
         int error = 0;
         socklen_t size = sizeof(error);
-        getsockopt(link->file, SOL_SOCKET, SO_ERROR, &error, &size);
+        getsockopt(link->fd, SOL_SOCKET, SO_ERROR, &error, &size);
         link->connecting = false;
         link->closing = error != 0;
     }
@@ -225,19 +222,19 @@
     for (uint32_t i = 0; i < links->peer_count; i++) {
         if (links->peers[i].link == link) {
             links->peers[i].link = NULL;
-            links_note_dial(links, &links->peers[i], now_ms, link->silent ? DIAL_END_SILENT : DIAL_END_REFUSED);
+            links_record_dial(links, &links->peers[i], now_ms, link->timed_out ? DIAL_TIMED_OUT : DIAL_FAILED);
         }
     }
     uint32_t node = link->node;
     if (node != RAFT_NO_NODE) {
-        links_index(links, node);
+        links_update_index(links, node);
     }
-    link_drop_pending(links, link);
+    link_remove_pending(links, link);
     if (link->watch != NULL) {
-        links->config.watcher->unwatch(link->watch);
+        links->config.event_loop->unwatch(link->watch);
     }
-    close(link->file);
-    links->queued -= link->out.length - link->out_sent;
+    close(link->fd);
+    links->queued_bytes -= link->out.length - link->out_sent;
     buffer_close(&link->in);
     buffer_close(&link->out);
     free(link);
@@ -247,13 +244,13 @@
     }
 }
 
-/* A buffer that a burst has made large is freed once it is empty and little used; until then it spares the
- * allocator, and the kernel new pages, for each batch of entries. */
+/* Frees a large buffer only if less than a quarter of it was used since the last check: freeing it after each batch of
+ * entries would cause reallocation and page faults. */
 static void link_shrink(struct buffer *buffer, size_t *peak)
 {
     bool little_used = *peak < buffer->capacity / 4;
     if (buffer->length == 0 && little_used) {
-        buffer_reuse(buffer, LINKS_KEPT_BYTES);
+        buffer_clear_and_trim(buffer, LINKS_KEEP_CAPACITY_BYTES);
     }
     *peak = buffer->length;
 }
@@ -272,58 +269,59 @@
 
 static void links_remove_closing(struct links *links, uint64_t now_ms)
 {
-    struct link **place = &links->all;
-    links->ended = false;
-    while (*place != NULL) {
-        struct link *link = *place;
+    struct link **slot = &links->all;
+    links->has_closed = false;
+    while (*slot != NULL) {
+        struct link *link = *slot;
         if (!link->closing) {
-            place = &link->next;
+            slot = &link->next;
             continue;
         }
-        *place = link->next;
+        *slot = link->next;
         link_free(links, link, now_ms);
     }
 }
 
-uint32_t links_replicas(const struct links *links, uint32_t *nodes, struct raft_member_place *places, uint32_t most)
+uint32_t links_list_replicas(const struct links *links, uint32_t *nodes, struct raft_member_location *locations,
+                             uint32_t max)
 {
     uint32_t count = 0;
-    for (const struct link *link = links->all; link != NULL && count < most; link = link->next) {
-        bool known = !link->replica || link->closing;
-        for (uint32_t i = 0; i < count && !known; i++) {
-            known = nodes[i] == link->node;
+    for (const struct link *link = links->all; link != NULL && count < max; link = link->next) {
+        bool skip = !link->replica || link->closing;
+        for (uint32_t i = 0; i < count && !skip; i++) {
+            skip = nodes[i] == link->node;
         }
-        if (!known) {
+        if (!skip) {
             nodes[count] = link->node;
-            places[count++] = link->place;
+            locations[count++] = link->location;
         }
     }
     return count;
 }
 
-bool links_place(const struct links *links, uint32_t node, struct raft_member_place *place)
+bool links_replica_location(const struct links *links, uint32_t node, struct raft_member_location *location)
 {
     const struct link *link = NULL;
     HASH_FIND(hh, links->by_node, &node, sizeof(node), link);
     if (link == NULL || !link->replica || link->closing) {
         return false;
     }
-    *place = link->place;
+    *location = link->location;
     return true;
 }
 
-uint32_t links_least_level(const struct links *links, const uint32_t *nodes, uint32_t count)
+uint32_t links_min_feature_level(const struct links *links, const uint32_t *nodes, uint32_t count)
 {
-    uint32_t least = LINKS_LEVEL;
+    uint32_t min_level = LINKS_FEATURE_LEVEL;
     for (uint32_t i = 0; i < count; i++) {
         const struct link *link = NULL;
         HASH_FIND(hh, links->by_node, &nodes[i], sizeof(nodes[i]), link);
-        least = link != NULL && link->level < least ? link->level : least;
+        min_level = link != NULL && link->feature_level < min_level ? link->feature_level : min_level;
     }
-    return least;
+    return min_level;
 }
 
-void links_ready(struct links *links, void *subject, bool readable, bool writable)
+void links_handle_ready(struct links *links, void *subject, bool readable, bool writable)
 {
     if (subject == &links->listener) {
         links_accept(links);
@@ -332,13 +330,13 @@
     struct link *link = subject;
     uint32_t events = (readable ? EPOLLIN : 0) | (writable ? EPOLLOUT : 0);
     link_handle_event(links, link, events);
-    links->ended = links->ended || link->closing;
+    links->has_closed = links->has_closed || link->closing;
 }
 
-void links_round(struct links *links, uint64_t now_ms)
+void links_tick(struct links *links, uint64_t now_ms)
 {
     links_dial_due(links, now_ms);
-    links_give_up_silent(links, now_ms);
+    links_time_out_dials(links, now_ms);
     links_remove_closing(links, now_ms);
     links_shrink(links, now_ms);
 }
@@ -355,11 +353,11 @@
             link_handle_event(links, events[i].data.ptr, events[i].events);
         }
     }
-    links_give_up_silent(links, now_ms);
+    links_time_out_dials(links, now_ms);
     links_remove_closing(links, now_ms);
 }
 
-uint32_t links_connected(const struct links *links)
+uint32_t links_connected_count(const struct links *links)
 {
     uint32_t count = 0;
     for (const struct link *link = links->all; link != NULL; link = link->next) {
@@ -375,16 +373,16 @@
         struct link *link = links->all;
         links->all = link->next;
         if (link->watch != NULL) {
-            links->config.watcher->unwatch(link->watch);
+            links->config.event_loop->unwatch(link->watch);
         }
-        close(link->file);
+        close(link->fd);
         buffer_close(&link->in);
         buffer_close(&link->out);
         free(link);
     }
     if (links->listener >= 0) {
         if (links->listener_watch != NULL) {
-            links->config.watcher->unwatch(links->listener_watch);
+            links->config.event_loop->unwatch(links->listener_watch);
         }
         close(links->listener);
     }
--- a/src/net/links.h
+++ b/src/net/links.h
@@ -1,17 +1,17 @@
 /**
  * @file links.h
- * Connections between daemons: length-prefixed nanopb frames over TCP,
- * driven by one thread through epoll, or by the host's own event loop
- * (links_watcher).
+ * Connections between daemons: length-prefixed protobuf frames over TCP, driven
+ * by one thread through epoll, or by the caller's event loop (struct
+ * links_event_loop).
  *
- * Every daemon dials each state replica; a replica answers a gateway over the
- * connection that the gateway made. The first frame each way is a Hello with
- * cluster name and protocol version; a mismatch ends the connection. Frames
- * for peers that do not take them are refused once the queues of all peers
- * hold LINKS_MAX_QUEUED bytes, or the host's bound; the layers above treat that
- * as loss.
+ * Every daemon dials each state replica (core/replica.h); a replica sends to a
+ * gateway over the connection that the gateway opened. The first frame in each
+ * direction is a Hello with cluster name and protocol version; a mismatch ends the
+ * connection. If the send queues of all peers together would exceed
+ * max_queued_bytes, a frame is rejected unless the queue of its peer is empty;
+ * callers treat that as packet loss.
  *
- * Wire form: u32 length (little endian), then an encoded Frame.
+ * Wire format: u32 length (little endian), then an encoded Frame.
  */
 #ifndef BANKBANK_NET_LINKS_H
 #define BANKBANK_NET_LINKS_H
@@ -23,128 +23,127 @@
 #include "control.pb.h"
 #include "core/raft.h"
 #include "net/address.h"
-#include "net/dial_pace.h"
+#include "net/dial_backoff.h"
 #include "net/link_counts.h"
 
 enum {
-    LINKS_VERSION = 1,           /**< Protocol version told in Hello. */
-    LINKS_LEVEL = 1,             /**< Level of log entries told in Hello: 1 knows zones that are drained. */
-    LINKS_MAX_FRAME = 64 << 20,  /**< Largest frame accepted, in bytes. */
-    LINKS_MAX_QUEUED = 64 << 20, /**< Unsent bytes kept for all connections, by default. */
-    LINKS_KEPT_BYTES = 32 << 10, /**< Room of a buffer that is kept whether it is used or not. */
-    LINKS_SHRINK_MS = 1000,      /**< Time in which a larger one must be used for a quarter, or it is freed. */
-    LINKS_REPLICAS_MOST = 256,   /**< Machines with a replica that are told apart, members or not. */
-    LINKS_SILENCE_MS = 2000      /**< Unacknowledged bytes for that long end a connection. */
+    LINKS_VERSION = 1,       /**< Protocol version. */
+    LINKS_FEATURE_LEVEL = 1, /**< Highest level of log entries that this version can apply; 1 adds drained zones. */
+    LINKS_MAX_FRAME_BYTES = 64 << 20,
+    LINKS_MAX_QUEUED_BYTES = 64 << 20,    /**< Default of links_config.max_queued_bytes. */
+    LINKS_KEEP_CAPACITY_BYTES = 32 << 10, /**< Buffers up to this capacity are never freed for being unused. */
+    LINKS_SHRINK_MS = 1000,               /**< Interval of checks that free larger, mostly unused buffers. */
+    LINKS_MAX_REPLICAS = 256,             /**< Array size for links_list_replicas(). */
+    LINKS_ACK_TIMEOUT_MS = 2000           /**< TCP_USER_TIMEOUT. */
 };
 
-/** Receives what arrives. */
 struct links_handler {
-    void *context; /**< First argument of every function. */
-    /** A frame from an identified peer; views in it are valid during the call. */
+    void *context; /**< First argument of every callback. */
+    /** A frame from an identified peer was received; its views are valid during the call. */
     void (*frame)(void *context, uint32_t from, const Frame *frame);
-    /** The connection to a peer is gone. */
+    /** The last connection to a peer was closed. */
     void (*disconnected)(void *context, uint32_t node);
-    /** A peer told who it is; may be NULL. */
+    /** A peer's Hello was accepted; may be NULL. */
     void (*connected)(void *context, uint32_t node);
 };
 
 struct links;
 
-/** An event loop of the host, in place of the links' own epoll. */
-struct links_watcher {
+/** An event loop of the caller, used instead of epoll. */
+struct links_event_loop {
     void *context; /**< First argument of `watch`. */
-    /** Watches a file for reading and writing; `subject` goes back to links_ready(). Returns a handle. */
-    void *(*watch)(void *context, struct links *links, void *subject, int file);
-    /** Changes whether writability is told. */
+    /** Watches `fd` for readability and writability; `subject` is passed to links_handle_ready(). Returns a handle. */
+    void *(*watch)(void *context, struct links *links, void *subject, int fd);
+    /** Sets whether writability is reported. */
     void (*want_write)(void *handle, bool wanted);
-    /** Ends the watch; the file is closed right after. */
+    /** Stops watching; the descriptor is closed right afterwards. */
     void (*unwatch)(void *handle);
 };
 
 /** A state replica to dial. */
 struct links_peer {
-    uint32_t node;          /**< Node id; RAFT_NO_NODE: whoever answers there. */
-    struct address address; /**< Where it listens. */
-    struct link *link;      /**< Connection, or NULL. */
-    dial_pace_t pace;       /**< When to dial it again. */
+    uint32_t node; /**< Expected node id; RAFT_NO_NODE: any. */
+    struct address address;
+    struct link *link; /**< NULL if there is no connection. */
+    dial_backoff_t backoff;
 };
 
-/** Fixed settings. */
 struct links_config {
-    const char *cluster;                 /**< Fleet's name. */
-    const char *zone;                    /**< Own zone, told to peers. */
-    uint32_t node;                       /**< Own node id. */
-    uint64_t boot_id;                    /**< Random id of this start. */
-    struct address listen;               /**< Where to listen; port 0 and empty ip: nowhere. */
-    bool listens;                        /**< Whether to listen. */
-    bool replica;                        /**< Told to peers: this daemon holds a replica that joins by itself. */
-    struct raft_member_place place;      /**< Where that replica runs. */
-    const struct links_watcher *watcher; /**< The host's event loop; NULL: own epoll. */
-    size_t queued_most;                  /**< Unsent bytes kept for all connections; 0: LINKS_MAX_QUEUED. */
+    const char *cluster;
+    const char *zone;      /**< Own zone, sent in Hello. */
+    uint32_t node;         /**< Own node id. */
+    uint64_t boot_id;      /**< Random id of this process. */
+    struct address listen; /**< Used if `listens`. */
+    bool listens;
+    bool replica; /**< Sent in Hello: this daemon holds a replica that joins the group automatically. */
+    struct raft_member_location location;      /**< Location of that replica. */
+    const struct links_event_loop *event_loop; /**< Event loop of the caller; NULL: use epoll. */
+    size_t max_queued_bytes;                   /**< Unsent bytes of all connections; 0: LINKS_MAX_QUEUED_BYTES. */
 };
 
 /** All connections of a daemon. */
 struct links {
-    struct links_config config;                /**< Fixed settings. */
-    struct links_handler handler;              /**< Receiver. */
-    int epoll;                                 /**< Event queue. */
+    struct links_config config;
+    struct links_handler handler;
+    int epoll;                                 /**< -1 with an event loop of the caller. */
     int listener;                              /**< Listening socket, or -1. */
-    void *listener_watch;                      /**< Handle of the host's watch of it. */
+    void *listener_watch;                      /**< Handle returned by `watch` for the listening socket. */
     struct links_peer peers[RAFT_MAX_MEMBERS]; /**< State replicas other than this node. */
-    uint32_t peer_count;                       /**< Number of peers. */
-    struct link *all;                          /**< Every connection. */
-    struct link *by_node;                      /**< The one that frames to a node take, by its id. */
-    struct link *pending;                      /**< Those that have something to write. */
-    bool ended;                                /**< One of them has ended: links_round() is due at once. */
-    uint64_t frames_in, frames_out;            /**< Frames so far. */
-    link_counts_t counts_in, counts_out;       /**< The same by kind. */
-    uint64_t bytes_in, bytes_out;              /**< Their bytes. */
-    size_t queued;                             /**< Unsent bytes of all connections. */
-    uint64_t shrink_due_ms;                    /**< Next look at the buffers' use. */
-    uint64_t frames_refused;                   /**< Frames for which there was no room in the queues. */
-    char error[256];                           /**< What failed on start. */
+    uint32_t peer_count;
+    struct link *all;     /**< Every connection. */
+    struct link *by_node; /**< Hash table by node id: connection for sending to it. */
+    struct link *pending; /**< List of connections that links_flush() writes. */
+    bool has_closed;      /**< A connection has ended: call links_tick() at once. */
+    uint64_t frames_in, frames_out;
+    link_counts_t counts_in, counts_out;
+    uint64_t bytes_in, bytes_out; /**< Including length prefixes. */
+    size_t queued_bytes;          /**< Unsent bytes of all connections. */
+    uint64_t shrink_due_ms;       /**< Time of the next check for unused buffers. */
+    uint64_t frames_refused;      /**< Frames rejected because the send queues were full. */
+    char error[256];              /**< Error of links_init(). */
 };
 
-/** Starts listening; false: see `error`. */
+/** Starts listening if configured; returns false and sets `error` on failure. */
 bool links_init(struct links *links, const struct links_config *config, const struct links_handler *handler);
 
-/** Adds a state replica to dial. */
+/** Adds a state replica to dial; ignored if there are RAFT_MAX_MEMBERS already. */
 void links_add_peer(struct links *links, uint32_t node, const struct address *address);
 
-/** Replaces the addresses to dial, whoever answers there; connections to others end. */
-void links_dial_only(struct links *links, const struct address *addresses, uint32_t count);
+/** Replaces the addresses to dial. New ones accept any node id; dialled connections to removed ones are closed. */
+void links_set_addresses(struct links *links, const struct address *addresses, uint32_t count);
 
-/** Fills `nodes` with the replicas that are connected and told their place; returns their number. */
-uint32_t links_replicas(const struct links *links, uint32_t *nodes, struct raft_member_place *places, uint32_t most);
+/** Fills `nodes` and `locations` with the connected peers that hold a replica, `max` at most; returns their number. */
+uint32_t links_list_replicas(const struct links *links, uint32_t *nodes, struct raft_member_location *locations,
+                             uint32_t max);
 
-/** Least level of log entries that one of the nodes that are connected told; LINKS_LEVEL where none is. */
-uint32_t links_least_level(const struct links *links, const uint32_t *nodes, uint32_t count);
+/** Lowest feature level of log entries among those of `nodes` that are connected, at most LINKS_FEATURE_LEVEL. */
+uint32_t links_min_feature_level(const struct links *links, const uint32_t *nodes, uint32_t count);
 
-/** Where the replica of a node that is connected runs; false: it is not connected, or holds none. */
-bool links_place(const struct links *links, uint32_t node, struct raft_member_place *place);
+/** Gets the location of the replica of a node; returns false if it is not connected or holds none. */
+bool links_replica_location(const struct links *links, uint32_t node, struct raft_member_location *location);
 
-/** With a watcher: handles readiness of `subject`; call links_round() where `ended` is set by it. */
-void links_ready(struct links *links, void *subject, bool readable, bool writable);
+/** With an event loop of the caller: handles readiness of `subject`. Call links_tick() if it sets `has_closed`. */
+void links_handle_ready(struct links *links, void *subject, bool readable, bool writable);
 
-/** With a watcher: dials what is due and drops what has ended. It looks at all connections: for a clock's tick. */
-void links_round(struct links *links, uint64_t now_ms);
+/** With an event loop of the caller: dials due peers, checks connect timeouts, frees ended connections and unused
+ * buffers. Call it on a timer rather than for each event, since it visits all connections. */
+void links_tick(struct links *links, uint64_t now_ms);
 
-/** Also wakes links_poll() when `file` is readable. */
-void links_watch(struct links *links, int file);
+/** Also wakes links_poll() when `fd` is readable. */
+void links_watch_fd(struct links *links, int fd);
 
-/** Queues an encoded frame; false: no connection to `node`, or its queue is full. */
+/** Queues an encoded frame; returns false if there is no connection to `node`, or the send queues are full. */
 bool links_send(struct links *links, uint32_t node, struct view frame);
 
-/** Dials what is due, waits up to `timeout_ms` for events and handles them. */
+/** Dials due peers, waits up to `timeout_ms` for events and handles them. */
 void links_poll(struct links *links, uint64_t now_ms, int timeout_ms);
 
-/** Writes queued frames out as far as the sockets take them. */
+/** Writes queued frames as far as the sockets accept them; the rest is written when they become writable. */
 void links_flush(struct links *links);
 
-/** Number of identified peers. */
-uint32_t links_connected(const struct links *links);
+/** Number of connections with identified peers. */
+uint32_t links_connected_count(const struct links *links);
 
-/** Closes everything. */
 void links_close(struct links *links);
 
 #endif
--- a/src/net/links_dial.c
+++ b/src/net/links_dial.c
@@ -1,4 +1,4 @@
-/* How connections between daemons come about: dialling, accepting, giving up. */
+/* Connections between daemons: dialling, accepting, connect timeouts. */
 #include "net/links_internal.h"
 
 #include <errno.h>
@@ -13,18 +13,18 @@
 
 #include "base/message.h"
 
-static bool links_set_options(int file)
+static bool links_set_socket_options(int fd)
 {
     int on = 1;
-    int flags = fcntl(file, F_GETFL);
-    unsigned silence_ms = LINKS_SILENCE_MS;
-    int probe_s = 1;
-    setsockopt(file, IPPROTO_TCP, TCP_USER_TIMEOUT, &silence_ms, sizeof(silence_ms));
-    setsockopt(file, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof(on));
-    setsockopt(file, IPPROTO_TCP, TCP_KEEPIDLE, &probe_s, sizeof(probe_s));
-    setsockopt(file, IPPROTO_TCP, TCP_KEEPINTVL, &probe_s, sizeof(probe_s));
-    return flags >= 0 && fcntl(file, F_SETFL, flags | O_NONBLOCK) == 0 && fcntl(file, F_SETFD, FD_CLOEXEC) == 0 &&
-           setsockopt(file, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on)) == 0;
+    int flags = fcntl(fd, F_GETFL);
+    unsigned ack_timeout_ms = LINKS_ACK_TIMEOUT_MS;
+    int keepalive_s = 1;
+    setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &ack_timeout_ms, sizeof(ack_timeout_ms));
+    setsockopt(fd, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof(on));
+    setsockopt(fd, IPPROTO_TCP, TCP_KEEPIDLE, &keepalive_s, sizeof(keepalive_s));
+    setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &keepalive_s, sizeof(keepalive_s));
+    return flags >= 0 && fcntl(fd, F_SETFL, flags | O_NONBLOCK) == 0 && fcntl(fd, F_SETFD, FD_CLOEXEC) == 0 &&
+           setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on)) == 0;
 }
 
 static void link_queue_hello(struct links *links, struct link *link)
@@ -35,15 +35,15 @@
     hello->cluster = (char *)(uintptr_t)links->config.cluster;
     hello->zone = (char *)(uintptr_t)links->config.zone;
     hello->version = LINKS_VERSION;
-    hello->level = LINKS_LEVEL;
+    hello->level = LINKS_FEATURE_LEVEL;
     hello->node = links->config.node;
     hello->boot_id = links->config.boot_id;
     hello->has_member = links->config.replica;
     hello->member.node = links->config.node;
-    hello->member.name = (char *)(uintptr_t)links->config.place.name;
-    hello->member.zone = (char *)(uintptr_t)links->config.place.zone;
-    hello->member.ip = links->config.place.ip;
-    hello->member.port = links->config.place.port;
+    hello->member.name = (char *)(uintptr_t)links->config.location.name;
+    hello->member.zone = (char *)(uintptr_t)links->config.location.zone;
+    hello->member.ip = links->config.location.ip;
+    hello->member.port = links->config.location.port;
     struct buffer encoded = {0};
     if (message_encode(&encoded, Frame_fields, &frame)) {
         link_queue(links, link, buffer_view(&encoded));
@@ -51,10 +51,10 @@
     buffer_close(&encoded);
 }
 
-static struct link *links_add(struct links *links, int file, bool outbound)
+static struct link *links_add(struct links *links, int fd, bool outbound)
 {
     struct link *link = memory_new(sizeof(*link));
-    link->file = file;
+    link->fd = fd;
     link->outbound = outbound;
     link->connecting = outbound;
     link->wants_write = true;
@@ -65,37 +65,37 @@
     return link;
 }
 
-void links_note_dial(const struct links *links, struct links_peer *peer, uint64_t now_ms, dial_end_t end)
+void links_record_dial(const struct links *links, struct links_peer *peer, uint64_t now_ms, dial_result_t result)
 {
-    uint64_t material[2] = {links->config.boot_id, now_ms};
-    dial_pace_note(&peer->pace, now_ms, end, (uint32_t)XXH64(material, sizeof(material), links->config.node));
+    uint64_t seed[2] = {links->config.boot_id, now_ms};
+    dial_backoff_record(&peer->backoff, now_ms, result, (uint32_t)XXH64(seed, sizeof(seed), links->config.node));
 }
 
 static void links_dial(struct links *links, struct links_peer *peer, uint64_t now_ms)
 {
-    int file = socket(AF_INET, SOCK_STREAM, 0);
-    if (file < 0 || !links_set_options(file)) {
+    int fd = socket(AF_INET, SOCK_STREAM, 0);
+    if (fd < 0 || !links_set_socket_options(fd)) {
         goto fail;
     }
-    int result = connect(file, (const struct sockaddr *)&peer->address.socket, sizeof(peer->address.socket));
+    int result = connect(fd, (const struct sockaddr *)&peer->address.socket, sizeof(peer->address.socket));
     if (result != 0 && errno != EINPROGRESS) {
         goto fail;
     }
-    peer->link = links_add(links, file, true);
-    peer->link->connect_until_ms = now_ms + dial_pace_limit_ms(&peer->pace);
+    peer->link = links_add(links, fd, true);
+    peer->link->connect_deadline_ms = now_ms + dial_backoff_timeout_ms(&peer->backoff);
     return;
 fail:
-    if (file >= 0) {
-        close(file);
+    if (fd >= 0) {
+        close(fd);
     }
-    links_note_dial(links, peer, now_ms, DIAL_END_REFUSED);
+    links_record_dial(links, peer, now_ms, DIAL_FAILED);
 }
 
 void links_dial_due(struct links *links, uint64_t now_ms)
 {
     for (uint32_t i = 0; i < links->peer_count; i++) {
         struct links_peer *peer = &links->peers[i];
-        if (peer->link == NULL && now_ms >= peer->pace.due_ms) {
+        if (peer->link == NULL && now_ms >= peer->backoff.next_attempt_ms) {
             links_dial(links, peer, now_ms);
         }
     }
@@ -103,14 +103,14 @@
 
 void links_accept(struct links *links)
 {
-    int file = accept(links->listener, NULL, NULL);
-    while (file >= 0) {
-        if (links_set_options(file)) {
-            links_add(links, file, false);
+    int fd = accept(links->listener, NULL, NULL);
+    while (fd >= 0) {
+        if (links_set_socket_options(fd)) {
+            links_add(links, fd, false);
         } else {
-            close(file);
+            close(fd);
         }
-        file = accept(links->listener, NULL, NULL);
+        fd = accept(links->listener, NULL, NULL);
     }
 }
 
@@ -125,35 +125,36 @@
     peer->address = *address;
 }
 
-void links_dial_only(struct links *links, const struct address *addresses, uint32_t count)
+void links_set_addresses(struct links *links, const struct address *addresses, uint32_t count)
 {
-    struct links_peer kept[RAFT_MAX_MEMBERS];
-    memset(kept, 0, sizeof(kept));
+    struct links_peer updated[RAFT_MAX_MEMBERS];
+    memset(updated, 0, sizeof(updated));
     count = count < RAFT_MAX_MEMBERS ? count : RAFT_MAX_MEMBERS;
     for (uint32_t i = 0; i < count; i++) {
-        kept[i].address = addresses[i];
+        updated[i].address = addresses[i];
     }
     for (uint32_t i = 0; i < links->peer_count; i++) {
         struct links_peer *peer = &links->peers[i];
         bool found = false;
         for (uint32_t k = 0; k < count && !found; k++) {
-            found = strcmp(kept[k].address.ip, peer->address.ip) == 0 && kept[k].address.port == peer->address.port;
+            found =
+                strcmp(updated[k].address.ip, peer->address.ip) == 0 && updated[k].address.port == peer->address.port;
             if (found) {
-                kept[k] = *peer;
+                updated[k] = *peer;
             }
         }
         if (!found && peer->link != NULL) {
             peer->link->closing = true;
         }
     }
-    memcpy(links->peers, kept, sizeof(kept));
+    memcpy(links->peers, updated, sizeof(updated));
     links->peer_count = count;
 }
 
-void links_give_up_silent(struct links *links, uint64_t now_ms)
+void links_time_out_dials(struct links *links, uint64_t now_ms)
 {
     for (struct link *link = links->all; link != NULL; link = link->next) {
-        link->silent = link->silent || (link->connecting && now_ms >= link->connect_until_ms);
-        link->closing = link->closing || link->silent;
+        link->timed_out = link->timed_out || (link->connecting && now_ms >= link->connect_deadline_ms);
+        link->closing = link->closing || link->timed_out;
     }
 }
--- a/src/net/links_internal.h
+++ b/src/net/links_internal.h
@@ -1,10 +1,10 @@
 /**
  * @file links_internal.h
- * Shared by the parts of the links; not for others.
+ * Connections between daemons; internal to these files:
  *
- *   links.c          index by node, sending, the end of a connection
- *   links_dial.c     dialling, accepting, giving up
- *   links_receive.c  who a peer is, and its frames
+ *   links.c          index by node, sending, closing
+ *   links_dial.c     dialling, accepting, connect timeouts
+ *   links_receive.c  Hello and other frames
  */
 #ifndef BANKBANK_NET_LINKS_INTERNAL_H
 #define BANKBANK_NET_LINKS_INTERNAL_H
@@ -13,58 +13,58 @@
 
 #include "net/links.h"
 
-enum { LINKS_HEADER = 4 /**< Bytes of a frame's length, before it. */ };
+enum { LINKS_HEADER_BYTES = 4 /**< Length prefix. */ };
 
 /** One connection. */
 struct link {
-    int file;                       /* socket */
-    uint32_t node;                  /* peer's id; 0 until its Hello came */
-    bool outbound;                  /* this side dialled */
-    bool connecting;                /* connect() is under way */
-    bool closing;                   /* to be removed after the current event */
-    bool wants_write;               /* registered for writability */
-    bool replica;                   /* peer holds a replica that joins by itself */
-    uint32_t level;                 /* of the log entries that the peer can apply */
-    void *watch;                    /* handle of the host's watch */
-    uint64_t connect_until_ms;      /* an attempt to connect is given up then */
-    bool silent;                    /* it was given up */
-    struct raft_member_place place; /* where the peer's replica runs */
-    bool pending;                   /* it stands in the list of links to be written */
-    struct link *next_pending;      /* next of that list */
-    UT_hash_handle hh;              /* by node: the link that frames to it take */
-    struct buffer in;               /* bytes received and not yet handled */
-    struct buffer out;              /* bytes queued */
-    size_t out_sent;                /* bytes of `out` already written */
-    size_t in_peak;                 /* most bytes in `in` since its use was last looked at */
-    size_t out_peak;                /* the same of `out` */
+    int fd;
+    uint32_t node; /* peer's id; RAFT_NO_NODE until its Hello is accepted */
+    bool outbound; /* this side dialled */
+    bool connecting;
+    bool closing;           /* to be removed after the current event */
+    bool wants_write;       /* registered for writability */
+    bool replica;           /* peer holds a replica that joins the group automatically */
+    uint32_t feature_level; /* highest level of log entries that the peer can apply */
+    void *watch;            /* handle in the caller's event loop */
+    uint64_t connect_deadline_ms;
+    bool timed_out;                       /* connect_deadline_ms has passed */
+    struct raft_member_location location; /* of the peer's replica */
+    bool pending;                         /* in the list links->pending */
+    struct link *next_pending;
+    UT_hash_handle hh; /* by node: the link used for sending to it */
+    struct buffer in;  /* bytes received and not yet handled */
+    struct buffer out; /* send queue */
+    size_t out_sent;   /* bytes of `out` already written */
+    size_t in_peak;    /* most bytes in `in` since the last check of its use */
+    size_t out_peak;   /* the same of `out` */
     struct link *next;
 };
 
 /* links.c */
-/** Tells the event loop of a connection, or what it waits for. */
+/** Adds a connection to the event loop, or updates the events it waits for; `operation` is EPOLL_CTL_ADD or _MOD. */
 void links_register(struct links *links, struct link *link, int operation);
 
-/** Puts a frame behind what the connection has to write. */
+/** Does not check the limit of queued bytes. */
 void link_queue(struct links *links, struct link *link, struct view frame);
 
-/** Chooses anew which connection of a node its frames take. */
-void links_index(struct links *links, uint32_t node);
+/** Updates links->by_node; called when a link of the node is added or removed. */
+void links_update_index(struct links *links, uint32_t node);
 
 /* links_dial.c */
-/** Notes how an attempt to reach a peer, or its connection, ended. */
-void links_note_dial(const struct links *links, struct links_peer *peer, uint64_t now_ms, dial_end_t end);
+/** Records the result of dialling a peer, or the end of its connection, for the backoff. */
+void links_record_dial(const struct links *links, struct links_peer *peer, uint64_t now_ms, dial_result_t result);
 
-/** Dials the peers whose time has come. */
+/** Dials the unconnected peers whose backoff has passed. */
 void links_dial_due(struct links *links, uint64_t now_ms);
 
-/** Takes the connections that wait at the listening socket. */
+/** Accepts all pending connections of the listening socket. */
 void links_accept(struct links *links);
 
-/** Ends attempts that nobody has answered for their limit. */
-void links_give_up_silent(struct links *links, uint64_t now_ms);
+/** Marks links whose connect timeout has expired as closing. */
+void links_time_out_dials(struct links *links, uint64_t now_ms);
 
 /* links_receive.c */
-/** Reads what is there and handles whole frames. */
+/** Reads all available bytes and handles complete frames. */
 void link_read(struct links *links, struct link *link);
 
 #endif
--- a/src/net/sse.c
+++ b/src/net/sse.c
@@ -4,7 +4,7 @@
 
 static const char SSE_DATA[] = "data:";
 
-static bool sse_line(struct view line, bool (*event)(void *context, struct view payload), void *context)
+static bool sse_handle_line(struct view line, bool (*event)(void *context, struct view payload), void *context)
 {
     size_t prefix = sizeof(SSE_DATA) - 1;
     if (line.length > 0 && line.data[line.length - 1] == '\r') {
@@ -29,16 +29,16 @@
     while (left > 0) {
         const uint8_t *end = memchr(position, '\n', left);
         size_t length = end == NULL ? left : (size_t)(end - position);
-        if (parser->line.length + length > SSE_MAX_LINE) {
+        if (parser->line.length + length > SSE_MAX_LINE_BYTES) {
             return false;
         }
         buffer_append(&parser->line, position, length);
         if (end == NULL) {
             return true;
         }
-        bool go_on = sse_line(buffer_view(&parser->line), event, context);
+        bool keep_going = sse_handle_line(buffer_view(&parser->line), event, context);
         buffer_clear(&parser->line);
-        if (!go_on) {
+        if (!keep_going) {
             return false;
         }
         position = end + 1;
--- a/src/net/sse.h
+++ b/src/net/sse.h
@@ -1,6 +1,6 @@
 /**
  * @file sse.h
- * Splits a stream of server-sent events into the payloads of their data lines.
+ * Incremental parser of server-sent events that reads only the data lines.
  */
 #ifndef BANKBANK_NET_SSE_H
 #define BANKBANK_NET_SSE_H
@@ -9,21 +9,17 @@
 
 #include "base/buffer.h"
 
-enum { SSE_MAX_LINE = 4 << 20 /**< Longest line accepted, in bytes. */ };
+enum { SSE_MAX_LINE_BYTES = 4 << 20 };
 
-/** A parser; all zero is its start. */
+/** Parser state; initially all zero. */
 struct sse_parser {
-    struct buffer line; /**< The unfinished line. */
+    struct buffer line; /**< Bytes of the incomplete line. */
 };
 
-/**
- * Feeds bytes and calls `event` with the payload of each data line. Returns
- * false if `event` did, or if a line is too long.
- */
+/** Calls `event` with the payload of each complete data line. Returns false if `event` did, or a line is too long. */
 bool sse_feed(struct sse_parser *parser, struct view data, bool (*event)(void *context, struct view payload),
               void *context);
 
-/** Frees the parser. */
 void sse_close(struct sse_parser *parser);
 
 #endif
--- a/src/net/upstream.c
+++ b/src/net/upstream.c
@@ -8,9 +8,9 @@
 #include <string.h>
 #include <sys/socket.h>
 
-#include "net/peer_watch.h"
+#include "net/peer_keepalive.h"
 
-enum { UPSTREAM_SWEEP_MS = PEER_WATCH_AGAIN_MS };
+enum { UPSTREAM_SWEEP_MS = PEER_KEEPALIVE_INTERVAL_MS };
 
 /* ---- Closing --------------------------------------------------------------------- */
 
@@ -23,12 +23,12 @@
 
 static void upstream_unlink_idle(struct upstream_connection *connection)
 {
-    struct upstream_connection **place = &connection->server->idle;
-    while (*place != NULL && *place != connection) {
-        place = &(*place)->next_idle;
+    struct upstream_connection **slot = &connection->server->idle;
+    while (*slot != NULL && *slot != connection) {
+        slot = &(*slot)->next_idle;
     }
-    if (*place != NULL) {
-        *place = connection->next_idle;
+    if (*slot != NULL) {
+        *slot = connection->next_idle;
     }
     connection->next_idle = NULL;
 }
@@ -54,19 +54,19 @@
     uv_close((uv_handle_t *)&connection->socket, upstream_on_closed);
 }
 
-void upstream_finish(struct upstream_pool *pool, struct upstream_exchange *exchange, enum upstream_end end)
+void upstream_finish(struct upstream_pool *pool, struct upstream_exchange *exchange, enum upstream_result result)
 {
     const struct upstream_events *events = exchange->events;
     void *owner = exchange->owner;
-    pool->counters.broken += end == UPSTREAM_BROKEN || end == UPSTREAM_SILENT ? 1 : 0;
+    pool->counters.broken += result == UPSTREAM_BROKEN || result == UPSTREAM_PEER_TIMEOUT ? 1 : 0;
     if (exchange->connection != NULL) {
         exchange->connection->exchange = NULL;
     }
     free(exchange);
-    events->end(owner, end);
+    events->end(owner, result);
 }
 
-static void upstream_tell_probed(struct upstream_connection *connection, bool answered)
+static void upstream_report_probe(struct upstream_connection *connection, bool answered)
 {
     struct upstream_pool *pool = connection->pool;
     if (connection->probe) {
@@ -75,18 +75,18 @@
     }
 }
 
-void upstream_connection_end(struct upstream_connection *connection, enum upstream_end sent_end)
+void upstream_connection_end(struct upstream_connection *connection, enum upstream_result sent_result)
 {
     struct upstream_pool *pool = connection->pool;
     struct upstream_server *server = connection->server;
     struct upstream_exchange *exchange = connection->exchange;
     upstream_connection_close(connection);
-    upstream_tell_probed(connection, false);
+    upstream_report_probe(connection, false);
     if (exchange != NULL) {
-        enum upstream_end not_sent = exchange->vacant ? UPSTREAM_VACANT : UPSTREAM_NOT_SENT;
-        upstream_finish(pool, exchange, exchange->sent ? sent_end : not_sent);
+        enum upstream_result not_sent = exchange->refused ? UPSTREAM_REFUSED : UPSTREAM_NOT_SENT;
+        upstream_finish(pool, exchange, exchange->sent ? sent_result : not_sent);
     }
-    upstream_serve_waiting(pool, server);
+    upstream_assign_waiting(pool, server);
 }
 
 void upstream_connection_fail(struct upstream_connection *connection)
@@ -94,39 +94,39 @@
     upstream_connection_end(connection, UPSTREAM_BROKEN);
 }
 
-void upstream_rest(struct upstream_connection *connection)
+void upstream_make_idle(struct upstream_connection *connection)
 {
     connection->state = UPSTREAM_IDLE;
-    connection->since_ms = uv_now(connection->pool->loop);
+    connection->state_since_ms = uv_now(connection->pool->loop);
     connection->next_idle = connection->server->idle;
     connection->server->idle = connection;
 }
 
-/* ---- Whether the peer's machine runs ------------------------------------------------- */
+/* ---- Keepalive ----------------------------------------------------------------------- */
 
-/* What came meanwhile and was not read is an answer as well: the kernel asks nothing then. */
-static void upstream_watch_peer(struct upstream_connection *connection, uint64_t now_ms)
+/* Bytes that arrived and are still unread count as an answer: the kernel sends no probe then. */
+static void upstream_update_keepalive(struct upstream_connection *connection, uint64_t now_ms)
 {
-    uv_os_fd_t file;
-    bool due = connection->state == UPSTREAM_ACTIVE && connection->exchange != NULL && connection->exchange->watched &&
-               now_ms >= connection->heard_ms + PEER_WATCH_QUIET_MS;
-    if (!due || uv_fileno((const uv_handle_t *)&connection->socket, &file) != 0) {
+    uv_os_fd_t fd;
+    bool due = connection->state == UPSTREAM_ACTIVE && connection->exchange != NULL &&
+               connection->exchange->keepalive && now_ms >= connection->last_activity_ms + PEER_KEEPALIVE_IDLE_MS;
+    if (!due || uv_fileno((const uv_handle_t *)&connection->socket, &fd) != 0) {
         return;
     }
-    if (connection->watched) {
-        peer_watch_ask(file);
-    } else if (connection->written && peer_watch_may_begin(file)) {
-        connection->watched = peer_watch_begin(file);
+    if (connection->keepalive) {
+        peer_keepalive_probe(fd);
+    } else if (connection->request_written && peer_keepalive_can_start(fd)) {
+        connection->keepalive = peer_keepalive_start(fd);
     }
 }
 
-void upstream_heard(struct upstream_connection *connection)
+void upstream_record_activity(struct upstream_connection *connection)
 {
-    uv_os_fd_t file;
-    connection->heard_ms = uv_now(connection->pool->loop);
-    if (connection->watched && uv_fileno((const uv_handle_t *)&connection->socket, &file) == 0) {
-        connection->watched = false;
-        peer_watch_end(file);
+    uv_os_fd_t fd;
+    connection->last_activity_ms = uv_now(connection->pool->loop);
+    if (connection->keepalive && uv_fileno((const uv_handle_t *)&connection->socket, &fd) == 0) {
+        connection->keepalive = false;
+        peer_keepalive_stop(fd);
     }
 }
 
@@ -134,7 +134,7 @@
 
 struct upstream_write {
     uv_write_t request;
-    struct buffer data; /* the whole request: its begin has left */
+    struct buffer data; /* the complete request; a part may already be sent */
 };
 
 static void upstream_write_free(struct upstream_write *write)
@@ -143,8 +143,6 @@
     free(write);
 }
 
-/* ---- What is not to be sent any more ---- */
-
 static void upstream_on_unsent(uv_timer_t *timer)
 {
     struct upstream_pool *pool = timer->data;
@@ -155,12 +153,12 @@
     }
 }
 
-static void upstream_leave_unsent(struct upstream_pool *pool, struct upstream_exchange *exchange)
+static void upstream_queue_unsent(struct upstream_pool *pool, struct upstream_exchange *exchange)
 {
     exchange->connection = NULL;
     exchange->next = pool->unsent;
     pool->unsent = exchange;
-    uv_timer_start(&pool->unsent_due, upstream_on_unsent, 0, 0);
+    uv_timer_start(&pool->unsent_timer, upstream_on_unsent, 0, 0);
 }
 
 static void upstream_on_written(uv_write_t *request, int status)
@@ -169,37 +167,37 @@
     struct upstream_connection *connection = request->handle->data;
     upstream_write_free(write);
     if (status == 0) {
-        connection->written = true;
+        connection->request_written = true;
     }
 }
 
-/* False: it is not to be sent any more; the connection is as it was. */
+/* Returns false if the request must not be sent any more; the connection is unchanged then. */
 static bool upstream_send(struct upstream_connection *connection, struct upstream_exchange *exchange)
 {
     struct buffer request = {0};
     if (!exchange->events->write(exchange->owner, &request)) {
         buffer_close(&request);
-        upstream_leave_unsent(connection->pool, exchange);
+        upstream_queue_unsent(connection->pool, exchange);
         return false;
     }
     connection->exchange = exchange;
     connection->state = UPSTREAM_ACTIVE;
-    connection->written = false;
-    connection->once = false;
+    connection->request_written = false;
+    connection->close_after = false;
     connection->reader.skip_body = exchange->head_request;
     http_reader_reset(&connection->reader);
     exchange->connection = connection;
     exchange->sent = true;
-    connection->heard_ms = uv_now(connection->pool->loop);
+    connection->last_activity_ms = uv_now(connection->pool->loop);
     uv_buf_t part = uv_buf_init((char *)request.data, (unsigned)request.length);
     int written = uv_try_write((uv_stream_t *)&connection->socket, &part, 1);
     size_t done = written < 0 ? 0 : (size_t)written;
-    connection->written = done == request.length;
-    if (connection->written) {
+    connection->request_written = done == request.length;
+    if (connection->request_written) {
         buffer_close(&request);
         return true;
     }
-    /* The rest is kept apart, so that it can be written on after an early answer. */
+    /* The write owns the request, since an early response may end the exchange before it is written. */
     struct upstream_write *write = memory_new(sizeof(*write));
     write->data = request;
     part = uv_buf_init((char *)request.data + done, (unsigned)(request.length - done));
@@ -209,12 +207,12 @@
     return true;
 }
 
-/* A connection that has just come up and is not needed by the one that asked for it. */
-static void upstream_rest_new(struct upstream_connection *connection)
+/* Makes a new connection idle: a probe opened it, or its exchange must not be sent any more. */
+static void upstream_make_new_idle(struct upstream_connection *connection)
 {
     connection->exchange = NULL;
-    connection->rest_ms = UPSTREAM_REST_MS;
-    upstream_rest(connection);
+    connection->idle_timeout_ms = UPSTREAM_IDLE_MS;
+    upstream_make_idle(connection);
 }
 
 static void upstream_on_connect(uv_connect_t *request, int status)
@@ -224,10 +222,10 @@
         return;
     }
     if (status != 0) {
-        connection->pool->counters.refused++;
-        upstream_tell_probed(connection, true); /* a refusal is an answer too */
+        connection->pool->counters.connect_failures++;
+        upstream_report_probe(connection, true); /* a refusal, like any error before the timeout, counts as an answer */
         if (connection->exchange != NULL) {
-            connection->exchange->vacant = status == UV_ECONNREFUSED;
+            connection->exchange->refused = status == UV_ECONNREFUSED;
         }
         upstream_connection_fail(connection);
         return;
@@ -237,9 +235,9 @@
     if (connection->exchange != NULL && upstream_send(connection, connection->exchange)) {
         return;
     }
-    upstream_rest_new(connection);
-    upstream_tell_probed(connection, true);
-    upstream_serve_waiting(connection->pool, connection->server);
+    upstream_make_new_idle(connection);
+    upstream_report_probe(connection, true);
+    upstream_assign_waiting(connection->pool, connection->server);
 }
 
 static struct upstream_connection *upstream_connect(struct upstream_pool *pool, struct upstream_server *server,
@@ -250,8 +248,8 @@
     connection->server = server;
     connection->exchange = exchange;
     connection->state = UPSTREAM_CONNECTING;
-    connection->since_ms = uv_now(pool->loop);
-    upstream_answer_open(connection);
+    connection->state_since_ms = uv_now(pool->loop);
+    upstream_response_init(connection);
     connection->next = pool->all;
     if (connection->next != NULL) {
         connection->next->previous = connection;
@@ -267,20 +265,20 @@
     connection->connect.data = connection;
     if (uv_tcp_connect(&connection->connect, &connection->socket, (const struct sockaddr *)&server->address.socket,
                        upstream_on_connect) != 0) {
-        connection->since_ms = 0; /* the sweep ends it */
+        connection->state_since_ms = 0; /* the next sweep closes it as timed out */
     }
     return connection;
 }
 
-/* A connection that the server has closed, or that holds stray bytes, is not used. */
-static bool upstream_is_quiet(const struct upstream_connection *connection)
+/* False if the server has closed the connection or sent unexpected bytes. */
+static bool upstream_is_reusable(const struct upstream_connection *connection)
 {
-    uv_os_fd_t file;
+    uv_os_fd_t fd;
     char byte;
-    if (uv_fileno((const uv_handle_t *)&connection->socket, &file) != 0) {
+    if (uv_fileno((const uv_handle_t *)&connection->socket, &fd) != 0) {
         return false;
     }
-    return recv(file, &byte, 1, MSG_PEEK | MSG_DONTWAIT) < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+    return recv(fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT) < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
 static struct upstream_connection *upstream_take_idle(struct upstream_pool *pool, struct upstream_server *server)
@@ -288,8 +286,9 @@
     uint64_t now_ms = uv_now(pool->loop);
     while (server->idle != NULL) {
         struct upstream_connection *connection = server->idle;
-        bool fits = now_ms < connection->since_ms + connection->rest_ms && upstream_is_quiet(connection);
-        if (!fits) {
+        bool usable =
+            now_ms < connection->state_since_ms + connection->idle_timeout_ms && upstream_is_reusable(connection);
+        if (!usable) {
             upstream_connection_close(connection);
             continue;
         }
@@ -309,7 +308,7 @@
         return;
     }
     if (connection != NULL) {
-        connection->next_idle = server->idle; /* it rests on */
+        connection->next_idle = server->idle; /* it stays idle */
         server->idle = connection;
         return;
     }
@@ -318,25 +317,25 @@
         upstream_connect(pool, server, exchange);
         return;
     }
-    struct upstream_exchange **place = &server->waiting;
-    while (*place != NULL) {
-        place = &(*place)->next;
+    struct upstream_exchange **slot = &server->waiting;
+    while (*slot != NULL) {
+        slot = &(*slot)->next;
     }
-    *place = exchange;
+    *slot = exchange;
 }
 
-static bool upstream_has_room(const struct upstream_pool *pool, const struct upstream_server *server)
+static bool upstream_has_capacity(const struct upstream_pool *pool, const struct upstream_server *server)
 {
     return server->idle != NULL || pool->max_connections == 0 || server->open < pool->max_connections;
 }
 
-/* What is not to be sent any more leaves the connection to the next one. */
-void upstream_serve_waiting(struct upstream_pool *pool, struct upstream_server *server)
+/* If an exchange must not be sent any more, its connection is assigned to the next one. */
+void upstream_assign_waiting(struct upstream_pool *pool, struct upstream_server *server)
 {
     const struct upstream_exchange *unsent = NULL;
     do {
         struct upstream_exchange *exchange = server->waiting;
-        if (exchange == NULL || !upstream_has_room(pool, server)) {
+        if (exchange == NULL || !upstream_has_capacity(pool, server)) {
             return;
         }
         unsent = pool->unsent;
@@ -346,7 +345,7 @@
     } while (pool->unsent != unsent);
 }
 
-static struct upstream_server *upstream_server_of(struct upstream_pool *pool, const struct address *address)
+static struct upstream_server *upstream_get_server(struct upstream_pool *pool, const struct address *address)
 {
     char key[sizeof(((struct upstream_server *)0)->key)];
     snprintf(key, sizeof(key), "%s:%u", address->ip, address->port);
@@ -368,7 +367,7 @@
     exchange->events = events;
     exchange->owner = owner;
     exchange->head_request = head_request;
-    exchange->server = upstream_server_of(pool, address);
+    exchange->server = upstream_get_server(pool, address);
     exchange->waiting_since_ms = uv_now(pool->loop);
     upstream_assign(pool, exchange->server, exchange);
     return exchange;
@@ -376,17 +375,17 @@
 
 void upstream_probe(struct upstream_pool *pool, const struct address *address)
 {
-    struct upstream_connection *connection = upstream_connect(pool, upstream_server_of(pool, address), NULL);
+    struct upstream_connection *connection = upstream_connect(pool, upstream_get_server(pool, address), NULL);
     connection->probe = true;
 }
 
-static void upstream_unlink(struct upstream_exchange **place, const struct upstream_exchange *exchange)
+static void upstream_remove_exchange(struct upstream_exchange **slot, const struct upstream_exchange *exchange)
 {
-    while (*place != NULL && *place != exchange) {
-        place = &(*place)->next;
+    while (*slot != NULL && *slot != exchange) {
+        slot = &(*slot)->next;
     }
-    if (*place != NULL) {
-        *place = exchange->next;
+    if (*slot != NULL) {
+        *slot = exchange->next;
     }
 }
 
@@ -394,19 +393,19 @@
 {
     struct upstream_server *server = exchange->server;
     struct upstream_connection *connection = exchange->connection;
-    upstream_unlink(&server->waiting, exchange);
-    upstream_unlink(&pool->unsent, exchange);
+    upstream_remove_exchange(&server->waiting, exchange);
+    upstream_remove_exchange(&pool->unsent, exchange);
     free(exchange);
     if (connection != NULL) {
         connection->exchange = NULL;
         upstream_connection_close(connection);
     }
-    upstream_serve_waiting(pool, server);
+    upstream_assign_waiting(pool, server);
 }
 
-void upstream_watch(struct upstream_exchange *exchange, bool watched)
+void upstream_set_keepalive(struct upstream_exchange *exchange, bool enabled)
 {
-    exchange->watched = watched;
+    exchange->keepalive = enabled;
 }
 
 void upstream_pause(struct upstream_exchange *exchange, bool paused)
@@ -439,7 +438,7 @@
     return count;
 }
 
-void upstream_forget(struct upstream_pool *pool, const char *address)
+void upstream_close_idle(struct upstream_pool *pool, const char *address)
 {
     struct upstream_server *server = NULL;
     HASH_FIND_STR(pool->servers, address, server);
@@ -448,15 +447,15 @@
     }
 }
 
-/* ---- Time --------------------------------------------------------------------------------- */
+/* ---- Timeouts ------------------------------------------------------------------------------ */
 
-/* The kernel has the answer to a dial while this process waits for the processor: it is told in this turn's poll. */
-static bool upstream_was_answered(const struct upstream_connection *connection)
+/* Whether the kernel has finished connecting, but libuv has not reported it yet because this process is late. */
+static bool upstream_connect_finished(const struct upstream_connection *connection)
 {
-    uv_os_fd_t file;
-    bool dials = connection->since_ms != 0 && uv_fileno((const uv_handle_t *)&connection->socket, &file) == 0;
-    struct pollfd ready = {.fd = dials ? file : -1, .events = POLLOUT};
-    return dials && poll(&ready, 1, 0) > 0;
+    uv_os_fd_t fd;
+    bool connecting = connection->state_since_ms != 0 && uv_fileno((const uv_handle_t *)&connection->socket, &fd) == 0;
+    struct pollfd ready = {.fd = connecting ? fd : -1, .events = POLLOUT};
+    return connecting && poll(&ready, 1, 0) > 0;
 }
 
 static void upstream_on_sweep(uv_timer_t *timer)
@@ -466,17 +465,19 @@
     struct upstream_connection *connection = pool->all;
     while (connection != NULL) {
         struct upstream_connection *next = connection->next;
-        uint64_t limit_ms = connection->probe ? UPSTREAM_PROBE_MS : UPSTREAM_CONNECT_MS;
-        bool late = connection->state == UPSTREAM_CONNECTING && now_ms >= connection->since_ms + limit_ms &&
-                    !upstream_was_answered(connection);
-        upstream_watch_peer(connection, now_ms);
-        bool rested = connection->state == UPSTREAM_IDLE && now_ms >= connection->since_ms + connection->rest_ms;
-        if (late || rested) {
-            pool->counters.refused += late ? 1 : 0;
+        uint64_t connect_timeout_ms = connection->probe ? UPSTREAM_PROBE_MS : UPSTREAM_CONNECT_MS;
+        bool connect_timed_out = connection->state == UPSTREAM_CONNECTING &&
+                                 now_ms >= connection->state_since_ms + connect_timeout_ms &&
+                                 !upstream_connect_finished(connection);
+        upstream_update_keepalive(connection, now_ms);
+        bool idle_expired =
+            connection->state == UPSTREAM_IDLE && now_ms >= connection->state_since_ms + connection->idle_timeout_ms;
+        if (connect_timed_out || idle_expired) {
+            pool->counters.connect_failures += connect_timed_out ? 1 : 0;
             upstream_connection_fail(connection);
             next = pool->all == NULL ? NULL : next;
-            /* The receiver may have closed others: begin again. */
-            connection = late ? pool->all : next;
+            /* The callback may have closed other connections: restart from the first. */
+            connection = connect_timed_out ? pool->all : next;
             continue;
         }
         connection = next;
@@ -488,9 +489,9 @@
     memset(pool, 0, sizeof(*pool));
     pool->loop = loop;
     uv_timer_init(loop, &pool->sweep);
-    uv_timer_init(loop, &pool->unsent_due);
+    uv_timer_init(loop, &pool->unsent_timer);
     pool->sweep.data = pool;
-    pool->unsent_due.data = pool;
+    pool->unsent_timer.data = pool;
     uv_timer_start(&pool->sweep, upstream_on_sweep, UPSTREAM_SWEEP_MS, UPSTREAM_SWEEP_MS);
 }
 
@@ -507,5 +508,5 @@
         free(server);
     }
     uv_close((uv_handle_t *)&pool->sweep, NULL);
-    uv_close((uv_handle_t *)&pool->unsent_due, NULL);
+    uv_close((uv_handle_t *)&pool->unsent_timer, NULL);
 }
--- a/src/net/upstream.h
+++ b/src/net/upstream.h
@@ -1,17 +1,16 @@
 /**
  * @file upstream.h
- * Event-driven HTTP/1.1 client on libuv with kept connections, one request at
- * a time on each. It tells apart what a proxy must know: a request that was
- * never sent, one that may have run, and a whole answer.
+ * Event-driven HTTP/1.1 client on libuv for a proxy, with a pool of persistent
+ * connections and one request at a time on each. It distinguishes a request that
+ * was never sent, one that may have been executed, and a complete response. No
+ * request is ever sent twice.
  *
- * A kept connection is used again only while nothing came on it since its
- * last answer, and is retired well before the server would close it. Nothing
- * is ever sent twice.
+ * An idle connection is reused only if nothing arrived on it since its last
+ * response, and is closed well before the server would close it.
  *
- * An exchange may wait for its connection: it dials for up to UPSTREAM_CONNECT_MS,
- * or all connections to its server are taken. So its bytes are made only when a
- * connection takes them, once, and what they tell of time holds then. A request
- * whose time is over by then is not sent.
+ * An exchange may wait for a connection. Its request is serialized only when one
+ * is available, so that time values in it are correct and a request whose deadline
+ * has passed is not sent.
  */
 #ifndef BANKBANK_NET_UPSTREAM_H
 #define BANKBANK_NET_UPSTREAM_H
@@ -27,119 +26,117 @@
 #include "net/http_reader.h"
 
 enum {
-    UPSTREAM_CONNECT_MS = 400,     /**< Time a connection may take to come up. */
-    UPSTREAM_PROBE_MS = 50,        /**< The same for one that only asks whether the server can be reached. */
-    UPSTREAM_REST_MS = 4000,       /**< Longest rest where the server names no time. */
-    UPSTREAM_REST_MARGIN_MS = 700, /**< Retired this much before the time the server names. */
-    UPSTREAM_MAX_HEAD = 64 << 10,  /**< Largest head of an answer. */
-    UPSTREAM_MAX_BODY = 64 << 20   /**< Largest body of an answer. */
+    UPSTREAM_CONNECT_MS = 400,
+    UPSTREAM_PROBE_MS = 50,        /**< Connect timeout of a probe. */
+    UPSTREAM_IDLE_MS = 4000,       /**< Idle timeout if the server sends no Keep-Alive header. */
+    UPSTREAM_IDLE_MARGIN_MS = 700, /**< Idle connections are closed this long before the server's timeout. */
+    UPSTREAM_MAX_HEAD_BYTES = 64 << 10,
+    UPSTREAM_MAX_BODY_BYTES = 64 << 20
 };
 
-/** How an exchange ended. */
-enum upstream_end {
-    UPSTREAM_DONE,     /**< The whole answer came. */
-    UPSTREAM_NOT_SENT, /**< No byte of the request left: it has not run. */
-    UPSTREAM_VACANT,   /**< The same, and nothing listens at the address: the server that had it has ended. */
-    UPSTREAM_BROKEN,   /**< It was sent, and no whole answer came: it may have run. */
-    UPSTREAM_SILENT    /**< The same: the server's machine answered nothing on the open connection (peer_watch.h). */
+enum upstream_result {
+    UPSTREAM_DONE,        /**< The complete response was received. */
+    UPSTREAM_NOT_SENT,    /**< No byte of the request was sent: it was not executed. */
+    UPSTREAM_REFUSED,     /**< Not sent, and the connection was refused: no server listens at the address. */
+    UPSTREAM_BROKEN,      /**< It was sent, without a complete response: it may have been executed. */
+    UPSTREAM_PEER_TIMEOUT /**< Like UPSTREAM_BROKEN, and the server's machine is unreachable (peer_keepalive.h). */
 };
 
-/** Receives an answer. Functions may cancel the exchange; `end` comes once, unless it was cancelled. */
+/** Callbacks of an exchange. They may cancel it, except `write`; `end` is called once, unless it was cancelled. */
 struct upstream_events {
     /**
-     * Appends the request, right before it goes out; false: it is not to be sent any more, and ends as
-     * UPSTREAM_NOT_SENT. Comes once at most, also from within upstream_start(); it may not cancel the exchange.
+     * Appends the serialized request right before it is sent. Returns false if it must not be sent any more; it then
+     * ends as UPSTREAM_NOT_SENT. Called at most once, possibly from upstream_start(); must not cancel the exchange.
      */
     bool (*write)(void *owner, struct buffer *request);
-    void (*head)(void *owner, const struct http_reader *answer); /**< The head of a final answer. */
-    void (*body)(void *owner, struct view part);                 /**< Decoded part of the body. */
-    void (*end)(void *owner, enum upstream_end end);             /**< The exchange is over. */
+    void (*head)(void *owner, const struct http_reader *response); /**< The head of the final response was received. */
+    void (*body)(void *owner, struct view part);                   /**< A decoded part of the body was received. */
+    void (*end)(void *owner, enum upstream_result result);         /**< The exchange is freed already. */
 };
 
 struct upstream_connection;
 struct upstream_server;
 
-/** A request under way. */
+/** An in-flight request. */
 struct upstream_exchange {
-    const struct upstream_events *events;   /**< Receiver. */
-    void *owner;                            /**< First argument of its functions. */
-    struct upstream_connection *connection; /**< Connection, or NULL while it waits for one. */
-    struct upstream_server *server;         /**< Server asked. */
-    bool head_request;                      /**< Method HEAD: the answer has no body. */
-    bool reused;                            /**< The connection served a request before. */
-    bool sent;                              /**< Bytes may have left. */
-    bool vacant;                            /**< The address refused the connection. */
-    bool final;                             /**< The head of the final answer came. */
-    bool watched;                           /**< The server's machine is asked while the answer is silent. */
-    uint64_t waiting_since_ms;              /**< Time the wait for a connection began. */
-    struct upstream_exchange *next;         /**< Queue of those that wait, or that end without having been sent. */
+    const struct upstream_events *events;
+    void *owner;                            /**< First argument of the callbacks. */
+    struct upstream_connection *connection; /**< NULL while it waits for one. */
+    struct upstream_server *server;
+    bool head_request;              /**< Method HEAD: the response has no body. */
+    bool reused;                    /**< Sent on a connection that was idle. */
+    bool sent;                      /**< Bytes of the request may have been sent. */
+    bool refused;                   /**< The address refused the connection. */
+    bool final;                     /**< The head of the final response was received. */
+    bool keepalive;                 /**< The server's machine is probed while nothing arrives. */
+    uint64_t waiting_since_ms;      /**< Start of the wait for a connection. */
+    struct upstream_exchange *next; /**< Next in the queue `waiting` or `unsent`. */
 };
 
-/** Events so far, one counter each. */
+/** Counters since the start. */
 struct upstream_counters {
-    uint64_t connections; /**< New connections. */
-    uint64_t reuses;      /**< Requests on a kept connection. */
-    uint64_t stray_bytes; /**< Kept connections closed for bytes that belong to no request. */
-    uint64_t refused;     /**< Connections that did not come up. */
-    uint64_t broken;      /**< Exchanges that ended without a whole answer, silent ones included. */
+    uint64_t connections;       /**< Opened connections. */
+    uint64_t reuses;            /**< Requests on a reused connection. */
+    uint64_t stray_data_closes; /**< Connections closed because of unexpected bytes. */
+    uint64_t connect_failures;  /**< Failed connection attempts. */
+    uint64_t broken;            /**< Exchanges that ended as UPSTREAM_BROKEN or UPSTREAM_PEER_TIMEOUT. */
 };
 
-/** Connections to one address. */
 struct upstream_server {
-    char key[32];                      /**< IP:PORT. */
-    struct address address;            /**< Where. */
-    uint32_t open;                     /**< Connections open or coming up. */
-    struct upstream_connection *idle;  /**< Most recently used first. */
+    char key[32]; /**< IP:PORT. */
+    struct address address;
+    uint32_t open;                     /**< Number of connections, including connecting ones. */
+    struct upstream_connection *idle;  /**< Idle connections, most recently used first. */
     struct upstream_exchange *waiting; /**< Exchanges that wait for a connection, oldest first. */
     UT_hash_handle hh;                 /**< By key. */
 };
 
-/** Receives whether a server took a connection that asked for no more than that. */
-typedef void (*upstream_probed)(void *context, const char *address, bool answered);
+/** Receives the result of upstream_probe(): whether the server answered, a refusal included. */
+typedef void (*upstream_probe_callback)(void *context, const char *address, bool answered);
 
-/** All servers. */
+/** Connection pool of all servers. */
 struct upstream_pool {
-    uv_loop_t *loop;                   /**< Event loop. */
-    uv_timer_t sweep;                  /**< Retires connections. */
-    uv_timer_t unsent_due;             /**< Ends those below, so that no end comes from within. */
-    struct upstream_exchange *unsent;  /**< Exchanges that were not to be sent any more. */
-    struct upstream_server *servers;   /**< By address. */
-    struct upstream_connection *all;   /**< Every connection. */
-    uint32_t max_connections;          /**< To one server; 0: no limit. */
-    upstream_probed probed;            /**< Receiver of what upstream_probe() asked. */
-    void *probed_context;              /**< Its first argument. */
-    struct upstream_counters counters; /**< Events. */
+    uv_loop_t *loop;
+    uv_timer_t sweep;                 /**< Checks timeouts and keepalives. */
+    uv_timer_t unsent_timer;          /**< Ends the exchanges in `unsent` asynchronously. */
+    struct upstream_exchange *unsent; /**< Exchanges that must not be sent any more. */
+    struct upstream_server *servers;  /**< Hash table by key. */
+    struct upstream_connection *all;  /**< Every connection. */
+    uint32_t max_connections;         /**< To one server; 0: no limit. */
+    upstream_probe_callback probed;   /**< Callback of upstream_probe(). */
+    void *probed_context;             /**< First argument of `probed`. */
+    struct upstream_counters counters;
 };
 
-/** Starts an empty pool. */
+/** Initializes an empty pool. */
 void upstream_init(struct upstream_pool *pool, uv_loop_t *loop);
 
 /** Closes all connections; exchanges must have ended. */
 void upstream_close(struct upstream_pool *pool);
 
-/** Sends what `events` writes, as soon as there is a connection. Ends come later, never from within. */
+/** Sends the request as soon as there is a connection. Never calls `end` itself. */
 struct upstream_exchange *upstream_start(struct upstream_pool *pool, const struct address *address, bool head_request,
                                          const struct upstream_events *events, void *owner);
 
-/** Opens a connection to see whether the server takes it; it is kept for a later exchange. `probed` is told, later. */
+/** Tests whether the server is reachable: opens a connection, which becomes idle, and calls `probed` later. */
 void upstream_probe(struct upstream_pool *pool, const struct address *address);
 
-/** Gives an exchange up: its connection is closed, no event follows. */
+/** Frees an exchange and closes its connection, if any; no callback follows. */
 void upstream_cancel(struct upstream_pool *pool, struct upstream_exchange *exchange);
 
-/** Ends the exchange, or no more, as UPSTREAM_SILENT where its connection tells that the server's machine is silent. */
-void upstream_watch(struct upstream_exchange *exchange, bool watched);
+/** Sets whether the exchange ends as UPSTREAM_PEER_TIMEOUT when the server's machine is unreachable. */
+void upstream_set_keepalive(struct upstream_exchange *exchange, bool enabled);
 
-/** Stops and resumes reading the answer. */
+/** Pauses or resumes reading the response. */
 void upstream_pause(struct upstream_exchange *exchange, bool paused);
 
-/** Connections that rest, to a server. */
+/** `address` is IP:PORT. */
 uint32_t upstream_idle_count(const struct upstream_pool *pool, const char *address);
 
-/** Closes the connections that rest, to a server that has started again. */
-void upstream_forget(struct upstream_pool *pool, const char *address);
+/** Closes the idle connections to `address` (IP:PORT), for example after the server was restarted. */
+void upstream_close_idle(struct upstream_pool *pool, const char *address);
 
-/** Whether bytes of the request may have left. */
+/** Whether bytes of the request may have been sent. */
 bool upstream_was_sent(const struct upstream_exchange *exchange);
 
 #endif
--- a/src/net/upstream_answer.c
+++ b/src/net/upstream_response.c
@@ -1,40 +1,40 @@
-/* What comes on connections to servers: answers, their ends, bytes that belong to none. */
+/* Reads from servers: responses, unexpected bytes and the end of a connection. */
 #include "net/upstream_internal.h"
 
 #include <string.h>
 #include <sys/socket.h>
 
-enum { UPSTREAM_READ_BYTES = 1 << 16, UPSTREAM_FIRST_FINAL = 200, UPSTREAM_MS_PER_S = 1000 };
+enum { UPSTREAM_READ_BYTES = 1 << 16, UPSTREAM_FIRST_FINAL_STATUS = 200, UPSTREAM_MS_PER_S = 1000 };
 
-static char upstream_read_space[UPSTREAM_READ_BYTES];
+static char upstream_read_buffer[UPSTREAM_READ_BYTES];
 
-static uint64_t upstream_rest_time(const struct http_reader *answer)
+static uint64_t upstream_parse_idle_timeout(const struct http_reader *response)
 {
-    struct view value = http_reader_header(answer, "Keep-Alive");
+    struct view value = http_reader_header(response, "Keep-Alive");
     static const char key[] = "timeout=";
     const uint8_t *at = value.length == 0 ? NULL : memmem(value.data, value.length, key, sizeof(key) - 1);
     if (at == NULL) {
-        return UPSTREAM_REST_MS;
+        return UPSTREAM_IDLE_MS;
     }
     uint64_t seconds = 0;
     const uint8_t *end = value.data + value.length;
     for (at += sizeof(key) - 1; at < end && *at >= '0' && *at <= '9' && seconds < 3600; at++) {
         seconds = seconds * 10 + (uint64_t)(*at - '0');
     }
-    uint64_t told_ms = seconds * UPSTREAM_MS_PER_S;
-    return told_ms > UPSTREAM_REST_MARGIN_MS ? told_ms - UPSTREAM_REST_MARGIN_MS : 0;
+    uint64_t server_timeout_ms = seconds * UPSTREAM_MS_PER_S;
+    return server_timeout_ms > UPSTREAM_IDLE_MARGIN_MS ? server_timeout_ms - UPSTREAM_IDLE_MARGIN_MS : 0;
 }
 
 static bool upstream_on_head(void *context, struct http_reader *reader)
 {
     struct upstream_connection *connection = context;
     struct upstream_exchange *exchange = connection->exchange;
-    if (reader->status < UPSTREAM_FIRST_FINAL) {
+    if (reader->status < UPSTREAM_FIRST_FINAL_STATUS) {
         return true;
     }
     exchange->final = true;
-    connection->rest_ms = upstream_rest_time(reader);
-    connection->once = !reader->keep_alive || reader->until_close;
+    connection->idle_timeout_ms = upstream_parse_idle_timeout(reader);
+    connection->close_after = !reader->keep_alive || reader->until_close;
     exchange->events->head(exchange->owner, reader);
     return connection->exchange != NULL;
 }
@@ -54,7 +54,7 @@
     return true;
 }
 
-/* The answer is whole: the connection rests, or serves the next exchange. */
+/* Makes the connection idle or closes it. */
 static void upstream_complete(struct upstream_connection *connection, bool bytes_left)
 {
     struct upstream_pool *pool = connection->pool;
@@ -62,16 +62,17 @@
     struct upstream_exchange *exchange = connection->exchange;
     connection->exchange = NULL;
     exchange->connection = NULL;
-    pool->counters.stray_bytes += bytes_left ? 1 : 0;
-    bool reusable = !bytes_left && !connection->once && connection->written && connection->rest_ms > 0;
+    pool->counters.stray_data_closes += bytes_left ? 1 : 0;
+    bool reusable =
+        !bytes_left && !connection->close_after && connection->request_written && connection->idle_timeout_ms > 0;
     if (reusable) {
-        upstream_rest(connection);
+        upstream_make_idle(connection);
         http_reader_reset(&connection->reader);
     } else {
         upstream_connection_close(connection);
     }
     upstream_finish(pool, exchange, UPSTREAM_DONE);
-    upstream_serve_waiting(pool, server);
+    upstream_assign_waiting(pool, server);
 }
 
 static void upstream_feed(struct upstream_connection *connection, const uint8_t *data, size_t length)
@@ -80,14 +81,14 @@
     while (used < length && connection->state == UPSTREAM_ACTIVE) {
         used += http_reader_feed(&connection->reader, data + used, length - used);
         if (connection->state != UPSTREAM_ACTIVE || connection->exchange == NULL) {
-            return; /* cancelled from within */
+            return; /* cancelled by a callback */
         }
-        if (connection->reader.fault != HTTP_FAULT_NONE) {
+        if (connection->reader.error != HTTP_PARSE_ERROR_NONE) {
             upstream_connection_fail(connection);
             return;
         }
         if (connection->reader.complete && !connection->exchange->final) {
-            http_reader_reset(&connection->reader); /* 1xx: the answer is still due */
+            http_reader_reset(&connection->reader); /* 1xx: the final response follows */
         } else if (connection->reader.complete) {
             upstream_complete(connection, used < length);
             return;
@@ -95,62 +96,62 @@
     }
 }
 
-/* libuv tells the end of a connection where the kernel tells a hang-up, which a reset is too. */
-static bool upstream_ended_in_order(const struct upstream_connection *connection)
+/* libuv reports UV_EOF for a hang-up, which can also be a reset: recv() distinguishes them. */
+static bool upstream_ended_cleanly(const struct upstream_connection *connection)
 {
-    uv_os_fd_t file;
+    uv_os_fd_t fd;
     char byte;
-    return uv_fileno((const uv_handle_t *)&connection->socket, &file) == 0 &&
-           recv(file, &byte, 1, MSG_PEEK | MSG_DONTWAIT) == 0;
+    return uv_fileno((const uv_handle_t *)&connection->socket, &fd) == 0 &&
+           recv(fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT) == 0;
 }
 
-static void upstream_ended(struct upstream_connection *connection, ssize_t reason)
+static void upstream_on_end(struct upstream_connection *connection, ssize_t reason)
 {
-    if (connection->state == UPSTREAM_ACTIVE && reason == UV_EOF && upstream_ended_in_order(connection)) {
+    if (connection->state == UPSTREAM_ACTIVE && reason == UV_EOF && upstream_ended_cleanly(connection)) {
         http_reader_end(&connection->reader);
         if (connection->exchange == NULL) {
             return;
         }
         if (connection->reader.complete && connection->exchange->final) {
-            connection->once = true;
+            connection->close_after = true;
             upstream_complete(connection, false);
             return;
         }
     }
-    upstream_connection_end(connection, reason == UV_ETIMEDOUT ? UPSTREAM_SILENT : UPSTREAM_BROKEN);
+    upstream_connection_end(connection, reason == UV_ETIMEDOUT ? UPSTREAM_PEER_TIMEOUT : UPSTREAM_BROKEN);
 }
 
 void upstream_on_alloc(uv_handle_t *handle, size_t suggested, uv_buf_t *out)
 {
     (void)handle;
     (void)suggested;
-    *out = uv_buf_init(upstream_read_space, sizeof(upstream_read_space));
+    *out = uv_buf_init(upstream_read_buffer, sizeof(upstream_read_buffer));
 }
 
-void upstream_on_read(uv_stream_t *stream, ssize_t got, const uv_buf_t *space)
+void upstream_on_read(uv_stream_t *stream, ssize_t nread, const uv_buf_t *buffer)
 {
     struct upstream_connection *connection = stream->data;
-    if (got == 0) {
+    if (nread == 0) {
         return;
     }
-    if (got < 0) {
-        upstream_ended(connection, got);
+    if (nread < 0) {
+        upstream_on_end(connection, nread);
         return;
     }
-    upstream_heard(connection);
+    upstream_record_activity(connection);
     if (connection->state == UPSTREAM_IDLE) {
-        connection->pool->counters.stray_bytes++;
+        connection->pool->counters.stray_data_closes++;
         upstream_connection_fail(connection);
         return;
     }
-    upstream_feed(connection, (const uint8_t *)space->base, (size_t)got);
+    upstream_feed(connection, (const uint8_t *)buffer->base, (size_t)nread);
 }
 
-void upstream_answer_open(struct upstream_connection *connection)
+void upstream_response_init(struct upstream_connection *connection)
 {
     connection->reader.type = HTTP_RESPONSE;
-    connection->reader.max_head_bytes = UPSTREAM_MAX_HEAD;
-    connection->reader.max_body_bytes = UPSTREAM_MAX_BODY;
+    connection->reader.max_head_bytes = UPSTREAM_MAX_HEAD_BYTES;
+    connection->reader.max_body_bytes = UPSTREAM_MAX_BODY_BYTES;
     connection->reader.events = (struct http_reader_events){
         .context = connection,
         .head = upstream_on_head,
--- a/src/proxy/caller_headers.c
+++ b/src/proxy/caller_headers.c
@@ -15,8 +15,8 @@
 static bool caller_header_passes(const struct dialect *dialect, const struct http_reader *request,
                                  caller_headers_use_t use, struct view name)
 {
-    bool old_place = use == CALLER_HEADERS_RESUMED && http_name_equal(name, CALLER_HEADERS_LAST_EVENT);
-    return !old_place && !http_reader_is_hop_header(request, name) && !caller_header_is_system(dialect, name);
+    bool stale_event_id = use == CALLER_HEADERS_RESUMED && http_name_equal(name, CALLER_HEADERS_LAST_EVENT);
+    return !stale_event_id && !http_reader_is_hop_by_hop(request, name) && !caller_header_is_system(dialect, name);
 }
 
 void caller_headers_write(const struct dialect *dialect, const struct http_reader *request, caller_headers_use_t use,
--- a/src/proxy/dialect.h
+++ b/src/proxy/dialect.h
@@ -1,9 +1,8 @@
 /**
  * @file dialect.h
- * Everything in which one platform's manner of speaking differs from
- * another's: names of headers and paths, and the formats of configuration and
- * machine list. A dialect translates to and from the product's typed values
- * and decides nothing.
+ * Platform-specific protocol details: names of headers and paths, and formats
+ * of the configuration and the machine list. A dialect only translates to and
+ * from the daemon's own types.
  */
 #ifndef BANKBANK_PROXY_DIALECT_H
 #define BANKBANK_PROXY_DIALECT_H
@@ -17,60 +16,58 @@
 #include "core/route_table.h"
 #include "core/server_entries.h"
 
-/** Headers of requests and answers. */
 enum dialect_header {
-    DIALECT_REQUEST_ID,      /**< Id of one attempt of a client; servers echo it. */
-    DIALECT_DEADLINE_MS,     /**< Time the sender waits, in ms. */
-    DIALECT_EXPECT_SERVER,   /**< The incarnation that is meant. */
-    DIALECT_SERVER_ID,       /**< The incarnation that answered. */
-    DIALECT_SIGNATURE,       /**< A server's mark on its answers. */
-    DIALECT_NOT_RUN,         /**< The server did not run the request. */
-    DIALECT_PROGRAM,         /**< Program. */
-    DIALECT_SESSION,         /**< Line of turns within a program. */
-    DIALECT_PROGRAM_LEFT_MS, /**< Time left for the whole program. */
-    DIALECT_TOKEN_BUDGET,    /**< Tokens that the program may generate. */
-    DIALECT_TOKEN_USAGE,     /**< Prompt tokens, and the most to generate, separated by a comma. */
-    DIALECT_PROMPT_PARTS,    /**< Parts of the prompt, the last one its own. */
-    DIALECT_OBJECT,          /**< Object that a request is about; the value may also stand in a cookie of this name. */
-    DIALECT_PARENT_TURN,     /**< Turn that this one goes on from. */
-    DIALECT_PRIORITY,        /**< Rank at a server, set by the daemon. */
-    DIALECT_RETRY_AFTER,     /**< Seconds until the client may ask again. */
-    DIALECT_AUTHORIZATION,   /**< A caller's key. */
-    DIALECT_TENANT,          /**< Name of the tenant that holds it, set by the daemon. */
+    DIALECT_REQUEST_ID,    /**< Differs for each retry of the client; servers echo it. */
+    DIALECT_DEADLINE_MS,   /**< Time for which the sender waits for the response, in ms. */
+    DIALECT_EXPECT_SERVER, /**< Server incarnation that must run the request. */
+    DIALECT_SERVER_ID,     /**< Server incarnation that responded. */
+    DIALECT_SIGNATURE,     /**< Marks a response as made by a server. */
+    DIALECT_NOT_RUN,       /**< Marks the response to a request that the server did not run. */
+    DIALECT_PROGRAM,       /**< Id of a program: requests, called turns, with a common deadline and token budget. */
+    DIALECT_SESSION,       /**< A sequence of turns within a program. */
+    DIALECT_PROGRAM_REMAINING_MS, /**< Remaining time of the program, in ms. */
+    DIALECT_TOKEN_BUDGET,         /**< Maximum generated tokens of the program. */
+    DIALECT_TOKEN_USAGE,          /**< Prompt tokens and maximum generated tokens, separated by a comma. */
+    DIALECT_PROMPT_PARTS,         /**< Ids and token counts; all but the last part are shared with other prompts. */
+    DIALECT_AFFINITY_KEY,         /**< Affinity key; may also be a cookie of this name. */
+    DIALECT_PARENT_TURN,          /**< Turn that this one continues. */
+    DIALECT_PRIORITY,             /**< Priority at a server, set by the daemon. */
+    DIALECT_RETRY_AFTER,          /**< In seconds. */
+    DIALECT_AUTHORIZATION,        /**< A caller's API key. */
+    DIALECT_TENANT,               /**< Name of the key's tenant, set by the daemon. */
     DIALECT_HEADER_COUNT
 };
 
-/** An operator's order. */
-enum dialect_order {
-    DIALECT_ORDER_NONE,         /**< The request is none. */
-    DIALECT_ORDER_PUT_CONFIG,   /**< Replace the configuration. */
-    DIALECT_ORDER_GET_CONFIG,   /**< Read it. */
-    DIALECT_ORDER_START_RETIRE, /**< Empty a machine. */
-    DIALECT_ORDER_GET_RETIRE,   /**< How far that is. */
-    DIALECT_ORDER_DRAIN_ZONE,   /**< Send nothing more to the servers of a zone. */
-    DIALECT_ORDER_OPEN_ZONE     /**< Take that back. */
+/** Type of an operator's request. */
+enum dialect_operation {
+    DIALECT_OPERATION_NONE, /**< Not an operator's request. */
+    DIALECT_OPERATION_PUT_CONFIG,
+    DIALECT_OPERATION_GET_CONFIG,
+    DIALECT_OPERATION_START_RETIRE, /**< Start to remove a machine's state replica from its group. */
+    DIALECT_OPERATION_GET_RETIRE,   /**< Report whether that is complete. */
+    DIALECT_OPERATION_DRAIN_ZONE,   /**< The zone's servers get no new requests. */
+    DIALECT_OPERATION_OPEN_ZONE     /**< End the drain of a zone. */
 };
 
-enum { DIALECT_NAME_MAX = 64 /**< Bytes of the name of a machine or a zone, NUL included. */ };
+enum { DIALECT_NAME_MAX = 64 /**< Bytes of a machine or zone name, NUL included. */ };
 
-/** A platform's manner of speaking. */
 struct dialect {
-    const char *headers[DIALECT_HEADER_COUNT]; /**< Names. */
-    const char *const
-        *system_headers;    /**< Names that a caller may not set at a server (caller_headers.h), then NULL. */
-    const char *ready_path; /**< Path of the readiness question. */
-    /** Reads a configuration; NULL: `findings` tells all faults. The caller releases it. */
+    const char *headers[DIALECT_HEADER_COUNT];
+    const char *const *system_headers; /**< Headers that callers may not set (caller_headers.h); ends with NULL. */
+    const char *ready_path;
+    /** The caller releases the result. NULL: `findings` has all errors. */
     struct route_table *(*read_configuration)(struct view text, struct findings *findings);
-    /** Appends the servers of one page to `list`, and counts the entries that name none in `left`; `next_page` gets the
-     * next page's token, or stays empty. False: the text is no whole page. */
-    bool (*read_servers)(struct view text, ServerList *list, server_entries_left_t *left, struct buffer *next_page);
-    /** Reads the value of DIALECT_PROMPT_PARTS: the shared parts, and the tokens of the request's own one. */
-    void (*read_parts)(struct view text, prefix_chain_t *shared, uint32_t *own_tokens);
-    /** Appends the target of the machine list's page. */
+    /** Parses a page of the machine list: appends its servers to `list`, counts the skipped entries in `skipped`,
+     * and sets `next_page` to the next page's token; it stays empty for the last page. False: the page is malformed. */
+    bool (*read_servers)(struct view text, ServerList *list, server_entries_skipped_t *skipped,
+                         struct buffer *next_page);
+    /** Parses the value of DIALECT_PROMPT_PARTS: the shared parts, and the token count of the unshared one. */
+    void (*read_prompt_parts)(struct view text, prefix_chain_t *shared, uint32_t *own_tokens);
+    /** Appends the request target of a page of the machine list. */
     void (*write_servers_target)(const char *page, struct buffer *out);
-    /** Tells which order a request is; `name` gets the machine or the zone that it names. */
-    enum dialect_order (*read_order)(struct view method, struct view target, char name[DIALECT_NAME_MAX]);
-    /** Appends the answer to a question how far emptying a machine is. */
+    /** Classifies a request; `name` gets the machine or zone that an operator's request names. */
+    enum dialect_operation (*read_operation)(struct view method, struct view target, char name[DIALECT_NAME_MAX]);
+    /** Appends the response body for DIALECT_OPERATION_GET_RETIRE. */
     void (*write_retire_state)(bool completed, struct buffer *out);
 };
 
--- a/src/proxy/forward.c
+++ b/src/proxy/forward.c
@@ -1,6 +1,6 @@
-/* The way of one request: begin, time limit, end. */
+/* Life cycle of a forwarded request: start, deadline, end. */
 #include "proxy/forward.h"
-#include "proxy/front_memory.h"
+#include "proxy/frontend_memory.h"
 
 #include <stdio.h>
 #include <stdlib.h>
@@ -17,38 +17,37 @@
     FORWARD_TOO_MANY = 429,
     FORWARD_UNAVAILABLE = 503,
     FORWARD_TIMEOUT = 504,
-    FORWARD_NUMBER_MAX = 24
+    FORWARD_NUMBER_MAX_BYTES = 24
 };
 
 static const double FORWARD_MS_PER_S = 1000;
 
-/* Outcome of an answer that was passed on whole. */
 static const char FORWARD_COMPLETED[] = "completed";
 
-/* Seconds after which a refused caller may ask again. */
-static const char FORWARD_RETRY_SOON[] = "0.1";  /* another daemon can serve it */
-static const char FORWARD_RETRY_BUSY[] = "0.2";  /* servers have no room */
-static const char FORWARD_RETRY_STATE[] = "0.4"; /* the state replicas elect a leader */
-static const char FORWARD_RETRY_START[] = "0.5"; /* this daemon has just started */
+/* Retry-After in seconds, by the progress of the refused request. */
+static const char FORWARD_RETRY_ISOLATED_S[] = "0.1"; /* this gateway is isolated; another one can serve the request */
+static const char FORWARD_RETRY_TRIED_S[] = "0.2";    /* at least one server was tried: usually, none has capacity */
+static const char FORWARD_RETRY_UNTRIED_S[] = "0.4";  /* none was tried, for example during a leader election */
+static const char FORWARD_RETRY_UNROUTED_S[] = "0.5"; /* this gateway has just started, or its memory is full */
 
 /* ---- Headers of the request --------------------------------------------------------------- */
 
-char *forward_text(const struct forward *forward, enum dialect_header header)
+char *forward_header_text(const struct forward *forward, enum dialect_header header)
 {
-    const char *name = forward->front->node->dialect->headers[header];
-    if (!http_reader_has(forward->call->request, name)) {
+    const char *name = forward->frontend->node->dialect->headers[header];
+    if (!http_reader_has_header(forward->call->request, name)) {
         return NULL;
     }
     struct view value = http_reader_header(forward->call->request, name);
     return memory_copy(value.data, value.length);
 }
 
-uint64_t forward_number(const struct forward *forward, enum dialect_header header, uint64_t absent)
+uint64_t forward_header_number(const struct forward *forward, enum dialect_header header, uint64_t default_value)
 {
-    struct view value = http_reader_header(forward->call->request, forward->front->node->dialect->headers[header]);
-    char text[FORWARD_NUMBER_MAX];
+    struct view value = http_reader_header(forward->call->request, forward->frontend->node->dialect->headers[header]);
+    char text[FORWARD_NUMBER_MAX_BYTES];
     if (value.length == 0 || value.length >= sizeof(text) || value.data[0] < '0' || value.data[0] > '9') {
-        return absent;
+        return default_value;
     }
     memcpy(text, value.data, value.length);
     text[value.length] = '\0';
@@ -62,156 +61,155 @@
     free(handle->data);
 }
 
-static void forward_unlink(struct forward *forward)
+static void forward_remove_from_list(struct forward *forward)
 {
-    struct front *front = forward->front;
+    struct frontend *frontend = forward->frontend;
     if (forward->previous != NULL) {
         forward->previous->next = forward->next;
     } else {
-        front->forwards = forward->next;
+        frontend->forwards = forward->next;
     }
     if (forward->next != NULL) {
         forward->next->previous = forward->previous;
     }
-    front->active--;
-    front->waiting -= forward->phase == FORWARD_WAITING ? 1 : 0;
-    front->queued -= forward->phase == FORWARD_QUEUED ? 1 : 0;
+    frontend->active--;
+    frontend->waiting -= forward->phase == FORWARD_WAITING ? 1 : 0;
+    frontend->queued -= forward->phase == FORWARD_QUEUED ? 1 : 0;
 }
 
 static void forward_log(const struct forward *forward)
 {
-    const struct node *node = forward->front->node;
+    const struct node *node = forward->frontend->node;
     const struct forward_stream *stream = &forward->stream;
     uint64_t begun_ms = forward->call->received_ms;
     uint64_t first_ms = stream->first_event_ms > begun_ms ? stream->first_event_ms - begun_ms : 0;
     bool completed = strcmp(forward->reason, FORWARD_COMPLETED) == 0;
-    event_log_within(completed ? "request" : "request_not_served", "request",
-                     "{s:s,s:s,s:s,s:s,s:i,s:s,s:I,s:I,s:i,s:i,s:b,s:I,s:I,s:I,s:I,s:s,s:s,s:I,s:I}", "id",
-                     text_or_empty(forward->id), "tenant", forward->tenant == NULL ? "" : forward->tenant->name,
-                     "route", forward->route == NULL ? "" : text_or_empty(forward->route->name), "outcome",
-                     forward->reason, "status", forward->told_status, "server", text_or_empty(forward->last_server),
-                     "total_ms", (json_int_t)(node_now(node) - begun_ms), "first_ms", (json_int_t)first_ms, "sends",
-                     (int)forward->sends, "runs", (int)forward->runs, "hedged", forward->hedged, "events",
-                     (json_int_t)stream->event_count, "configuration",
-                     (json_int_t)(forward->table == NULL ? 0 : forward->table->version), "servers",
-                     (json_int_t)node->state.servers_number, "state_age_ms", (json_int_t)node_state_age(node),
-                     "program", text_or_empty(forward->turn.program), "parent", text_or_empty(forward->turn.parent),
-                     "program_left_ms", (json_int_t)(forward->program_due_ms - forward->call->received_ms), "queued_ms",
-                     (json_int_t)(forward->queued_ms == 0 ? 0 : node_now(node) - forward->queued_ms));
+    event_log_with_budget(
+        completed ? "request" : "request_not_served", "request",
+        "{s:s,s:s,s:s,s:s,s:i,s:s,s:I,s:I,s:i,s:i,s:b,s:I,s:I,s:I,s:I,s:s,s:s,s:I,s:I}", "id",
+        text_or_empty(forward->id), "tenant", forward->tenant == NULL ? "" : forward->tenant->name, "route",
+        forward->route == NULL ? "" : text_or_empty(forward->route->name), "outcome", forward->reason, "status",
+        forward->response_status, "server", text_or_empty(forward->last_server), "total_ms",
+        (json_int_t)(node_now(node) - begun_ms), "first_ms", (json_int_t)first_ms, "sends", (int)forward->sends, "runs",
+        (int)forward->possible_runs, "hedged", forward->hedged, "events", (json_int_t)stream->event_count,
+        "configuration", (json_int_t)(forward->table == NULL ? 0 : forward->table->version), "servers",
+        (json_int_t)node->state.servers_number, "state_age_ms", (json_int_t)node_state_age(node), "program",
+        text_or_empty(forward->turn.program), "parent", text_or_empty(forward->turn.parent), "program_left_ms",
+        (json_int_t)(forward->program_deadline_ms - forward->call->received_ms), "queued_ms",
+        (json_int_t)(forward->queued_ms == 0 ? 0 : node_now(node) - forward->queued_ms));
 }
 
 static void forward_close(struct forward *forward)
 {
     forward_log(forward);
-    forward_quota_end(forward);
+    forward_quota_return(forward);
     forward_end_attempts(forward);
     forward_turn_settle(forward);
     forward_turn_close(forward);
     event_stream_close(&forward->stream.events);
-    forward_unlink(forward);
+    forward_remove_from_list(forward);
     route_table_release(forward->table);
     free(forward->id);
     free(forward->last_server);
-    free(forward->bound);
-    forward->limit.data = forward;
-    uv_close((uv_handle_t *)&forward->limit, forward_on_timer_closed);
+    free(forward->bound_incarnation);
+    forward->timer.data = forward;
+    uv_close((uv_handle_t *)&forward->timer, forward_on_timer_closed);
 }
 
-/* When a refused caller should come back. */
 static const char *forward_retry_after(const struct forward *forward)
 {
     if (forward->table == NULL) {
-        return FORWARD_RETRY_START;
+        return FORWARD_RETRY_UNROUTED_S;
     }
-    if (node_is_isolated(forward->front->node)) {
-        return FORWARD_RETRY_SOON;
+    if (node_is_isolated(forward->frontend->node)) {
+        return FORWARD_RETRY_ISOLATED_S;
     }
-    return forward->sends > 0 ? FORWARD_RETRY_BUSY : FORWARD_RETRY_STATE;
+    return forward->sends > 0 ? FORWARD_RETRY_TRIED_S : FORWARD_RETRY_UNTRIED_S;
 }
 
-static void forward_reply(struct forward *forward, int status, const char *code, const char *run_state,
-                          bool retry_after)
+static void forward_respond(struct forward *forward, int status, const char *code, const char *run_state,
+                            bool retry_after)
 {
     struct http_call *call = forward->call;
-    const struct dialect *dialect = forward->front->node->dialect;
+    const struct dialect *dialect = forward->frontend->node->dialect;
     struct buffer headers = {0};
     struct buffer body = {0};
     buffer_printf(&headers, "X-Run-State: %s\r\n", run_state);
     buffer_append_text(&headers, status == FORWARD_UNAUTHORIZED ? "WWW-Authenticate: Bearer\r\n" : "");
-    if (retry_after && forward->quota.retry_ms > 0) {
+    if (retry_after && forward->quota.retry_after_ms > 0) {
         buffer_printf(&headers, "%s: %.3f\r\n", dialect->headers[DIALECT_RETRY_AFTER],
-                      (double)forward->quota.retry_ms / FORWARD_MS_PER_S);
+                      (double)forward->quota.retry_after_ms / FORWARD_MS_PER_S);
     } else if (retry_after) {
         buffer_printf(&headers, "%s: %s\r\n", dialect->headers[DIALECT_RETRY_AFTER], forward_retry_after(forward));
     }
     buffer_printf(&body, "{\"error\":{\"code\":\"%s\",\"run_state\":\"%s\"}}", code, run_state);
-    forward->told_status = status;
+    forward->response_status = status;
     call->owner = NULL;
     forward_close(forward);
-    http_call_reply(call, status, buffer_text(&headers), "application/json", buffer_view(&body));
+    http_call_send_response(call, status, buffer_text(&headers), "application/json", buffer_view(&body));
     buffer_close(&headers);
     buffer_close(&body);
 }
 
 void forward_refuse(struct forward *forward, int status, const char *reason)
 {
-    if (forward->stream.begun) {
+    if (forward->stream.head_sent) {
         forward_fail(forward, status, reason);
         return;
     }
-    forward->front->counters.refused++;
+    forward->frontend->counters.refused++;
     forward->reason = reason;
-    forward_reply(forward, status, reason, "not-run", status == FORWARD_UNAVAILABLE || status == FORWARD_TOO_MANY);
+    forward_respond(forward, status, reason, "not-run", status == FORWARD_UNAVAILABLE || status == FORWARD_TOO_MANY);
 }
 
 void forward_fail(struct forward *forward, int status, const char *reason)
 {
     struct http_call *call = forward->call;
     forward->reason = reason;
-    if (!forward->stream.begun) {
-        forward->front->counters.failed++;
-        forward_reply(forward, status, reason, "unknown", false);
+    if (!forward->stream.head_sent) {
+        forward->frontend->counters.failed++;
+        forward_respond(forward, status, reason, "unknown", false);
         return;
     }
-    forward->front->counters.cut++;
+    forward->frontend->counters.aborted++;
     call->owner = NULL;
     forward_close(forward);
-    http_call_cut(call);
+    http_call_abort_response(call);
 }
 
 void forward_complete(struct forward *forward)
 {
     struct http_call *call = forward->call;
-    forward->front->counters.completed++;
+    forward->frontend->counters.completed++;
     forward->reason = FORWARD_COMPLETED;
-    histogram_note(&forward->front->total, node_now(forward->front->node) - call->received_ms);
+    histogram_record(&forward->frontend->response_time, node_now(forward->frontend->node) - call->received_ms);
     call->owner = NULL;
     forward_close(forward);
-    http_call_end(call);
+    http_call_end_response(call);
 }
 
 void forward_complete_with(struct forward *forward, int status, struct buffer *lines, struct buffer *body)
 {
     struct http_call *call = forward->call;
-    forward->front->counters.completed++;
+    forward->frontend->counters.completed++;
     forward->reason = FORWARD_COMPLETED;
-    forward->told_status = status;
-    histogram_note(&forward->front->total, node_now(forward->front->node) - call->received_ms);
+    forward->response_status = status;
+    histogram_record(&forward->frontend->response_time, node_now(forward->frontend->node) - call->received_ms);
     call->owner = NULL;
     forward_close(forward);
-    http_call_reply(call, status, buffer_text(lines), NULL, buffer_view(body));
+    http_call_send_response(call, status, buffer_text(lines), NULL, buffer_view(body));
     buffer_close(lines);
     buffer_close(body);
 }
 
-void forward_caller_gone(struct forward *forward)
+void forward_caller_disconnected(struct forward *forward)
 {
-    forward->front->counters.gone++;
+    forward->frontend->counters.caller_disconnects++;
     forward->reason = "caller gone";
     forward_close(forward);
 }
 
-void forward_out_of_time(struct forward *forward)
+void forward_timed_out(struct forward *forward)
 {
     if (forward_was_sent(forward)) {
         forward_fail(forward, FORWARD_TIMEOUT, "out of time at a server");
@@ -223,102 +221,100 @@
 static void forward_on_timer(uv_timer_t *timer)
 {
     struct forward *forward = timer->data;
-    uint64_t now_ms = node_now(forward->front->node);
+    uint64_t now_ms = node_now(forward->frontend->node);
     if (forward->phase == FORWARD_WAITING) {
         forward_refuse(forward, FORWARD_UNAVAILABLE,
-                       forward->front->table == NULL ? "no configuration yet" : "no servers known yet");
+                       forward->frontend->table == NULL ? "no configuration yet" : "no servers known yet");
         return;
     }
-    if (now_ms >= forward->limit_ms) {
-        forward_out_of_time(forward);
+    if (now_ms >= forward->deadline_ms) {
+        forward_timed_out(forward);
         return;
     }
-    uv_timer_start(timer, forward_on_timer, forward->limit_ms - now_ms, 0);
+    uv_timer_start(timer, forward_on_timer, forward->deadline_ms - now_ms, 0);
     forward_hedge(forward);
 }
 
-/* ---- Begin --------------------------------------------------------------------------------------- */
+/* ---- Start --------------------------------------------------------------------------------------- */
 
-static struct forward *forward_new(struct front *front, struct http_call *call)
+static struct forward *forward_new(struct frontend *frontend, struct http_call *call)
 {
     struct forward *forward = memory_new(sizeof(*forward));
-    forward->front = front;
+    forward->frontend = frontend;
     forward->call = call;
     forward->reason = "";
     forward->phase = FORWARD_PREPARING;
-    forward->next = front->forwards;
+    forward->next = frontend->forwards;
     if (forward->next != NULL) {
         forward->next->previous = forward;
     }
-    front->forwards = forward;
-    front->active++;
+    frontend->forwards = forward;
+    frontend->active++;
     call->owner = forward;
-    uv_timer_init(&front->node->loop, &forward->limit);
-    forward->limit.data = forward;
-    forward->id = forward_text(forward, DIALECT_REQUEST_ID);
+    uv_timer_init(&frontend->node->loop, &forward->timer);
+    forward->timer.data = forward;
+    forward->id = forward_header_text(forward, DIALECT_REQUEST_ID);
     return forward;
 }
 
-/* Time to its limit. */
-static uint64_t forward_left_ms(const struct forward *forward)
+static uint64_t forward_time_left_ms(const struct forward *forward)
 {
-    uint64_t now_ms = node_now(forward->front->node);
-    return forward->limit_ms > now_ms ? forward->limit_ms - now_ms : 0;
+    uint64_t now_ms = node_now(forward->frontend->node);
+    return forward->deadline_ms > now_ms ? forward->deadline_ms - now_ms : 0;
 }
 
-static void forward_set_limit(struct forward *forward)
+static void forward_set_deadline(struct forward *forward)
 {
-    uint64_t timeout_ms = forward->route->timeout_ms;
-    uint64_t deadline_ms = forward_number(forward, DIALECT_DEADLINE_MS, timeout_ms);
-    uint64_t most_ms = deadline_ms < timeout_ms ? deadline_ms : timeout_ms;
-    uint64_t hedge_ms =
-        forward->route->target_latency_ms > FORWARD_HEDGE_MS ? forward->route->target_latency_ms : FORWARD_HEDGE_MS;
-    forward->limit_ms = forward->call->received_ms + most_ms;
-    uint64_t left_ms = forward_left_ms(forward);
-    bool hedges = forward->route->kind == ROUTE_SAFE && forward->route->max_attempts > 1 && hedge_ms < left_ms;
-    forward->program_due_ms =
-        forward->call->received_ms + forward_number(forward, DIALECT_PROGRAM_LEFT_MS, deadline_ms);
-    uv_timer_start(&forward->limit, forward_on_timer, hedges ? hedge_ms : left_ms, 0);
+    uint64_t route_timeout_ms = forward->route->timeout_ms;
+    uint64_t caller_timeout_ms = forward_header_number(forward, DIALECT_DEADLINE_MS, route_timeout_ms);
+    uint64_t allowed_ms = caller_timeout_ms < route_timeout_ms ? caller_timeout_ms : route_timeout_ms;
+    uint64_t hedge_ms = forward->route->target_latency_ms > FORWARD_HEDGE_DELAY_MS ? forward->route->target_latency_ms
+                                                                                   : FORWARD_HEDGE_DELAY_MS;
+    forward->deadline_ms = forward->call->received_ms + allowed_ms;
+    uint64_t left_ms = forward_time_left_ms(forward);
+    bool may_hedge = forward->route->kind == ROUTE_SAFE && forward->route->max_attempts > 1 && hedge_ms < left_ms;
+    forward->program_deadline_ms =
+        forward->call->received_ms + forward_header_number(forward, DIALECT_PROGRAM_REMAINING_MS, caller_timeout_ms);
+    uv_timer_start(&forward->timer, forward_on_timer, may_hedge ? hedge_ms : left_ms, 0);
 }
 
-/* On a sticky route prompts share parts, and requests are about objects. */
-static void forward_read_parts(struct forward *forward)
+/* A sticky route places requests by shared prompt parts and the affinity key. */
+static void forward_read_placement_headers(struct forward *forward)
 {
     const struct http_reader *request = forward->call->request;
-    const struct dialect *dialect = forward->front->node->dialect;
+    const struct dialect *dialect = forward->frontend->node->dialect;
     if (!forward->route->sticky) {
         return;
     }
     struct view text = http_reader_header(request, dialect->headers[DIALECT_PROMPT_PARTS]);
-    dialect->read_parts(text, &forward->chain, &forward->own_tokens);
-    struct view object = http_reader_header(request, dialect->headers[DIALECT_OBJECT]);
-    object = object.length > 0 ? object : http_reader_cookie(request, dialect->headers[DIALECT_OBJECT]);
-    forward->wish.object = object.length > 0 ? XXH64(object.data, object.length, 0) : 0;
+    dialect->read_prompt_parts(text, &forward->chain, &forward->own_tokens);
+    struct view key = http_reader_header(request, dialect->headers[DIALECT_AFFINITY_KEY]);
+    key = key.length > 0 ? key : http_reader_cookie(request, dialect->headers[DIALECT_AFFINITY_KEY]);
+    forward->criteria.affinity_key = key.length > 0 ? XXH64(key.data, key.length, 0) : 0;
 }
 
-/* Denied only while it is sure that no newer configuration has the route; otherwise the caller is to come back. The
- * real time counts: this process may have stood still since its turn began. */
-static void forward_refuse_unknown(struct forward *forward)
+/* Responds 404 only while the configuration is certainly current, else 503: a newer one may have the route. Uses the
+ * real time, not the loop's: the process may have been suspended since the loop iteration began. */
+static void forward_refuse_unknown_route(struct forward *forward)
 {
-    forward->front->counters.unknown_route++;
-    if (node_is_fresh_at(forward->front->node, node_real_now())) {
+    forward->frontend->counters.unknown_route++;
+    if (node_is_fresh_at(forward->frontend->node, node_real_now())) {
         forward_refuse(forward, FORWARD_NOT_FOUND, "no route");
     } else {
         forward_refuse(forward, FORWARD_UNAVAILABLE, "no route as far as is known");
     }
 }
 
-/* Finds the route, and begins. */
 static void forward_route(struct forward *forward)
 {
-    struct front *front = forward->front;
+    struct frontend *frontend = forward->frontend;
     struct http_call *call = forward->call;
     struct view host = http_reader_header(call->request, "Host");
     forward->phase = FORWARD_PREPARING;
-    forward->table = route_table_hold(front->table);
-    forward->route = route_table_find(front->table, host, call->request->target);
+    forward->table = route_table_retain(frontend->table);
+    forward->route = route_table_find(frontend->table, host, call->request->target);
     if (forward->route == NULL) {
-        forward_refuse_unknown(forward);
+        forward_refuse_unknown_route(forward);
         return;
     }
     if (forward->id == NULL) {
@@ -328,76 +324,76 @@
     if (!forward_tenant_find(forward)) {
         return;
     }
-    front->counters.requests++;
-    retry_budget_note_request(&front->retries);
-    forward_set_limit(forward);
+    frontend->counters.requests++;
+    retry_budget_record_request(&frontend->retries);
+    forward_set_deadline(forward);
     if (!forward_has_time(forward)) {
-        forward_out_of_time(forward); /* it has lain unread, or waited for the start, for too long */
+        forward_timed_out(forward); /* reading it, or FORWARD_WAITING, took too long */
         return;
     }
-    forward_read_parts(forward);
+    forward_read_placement_headers(forward);
     forward_turn_read(forward);
     if (forward->turn.program == NULL) {
         forward_quota_begin(forward);
-        forward_go_on(forward);
-    } else if (node_is_isolated(front->node)) {
-        /* Other daemons reach the state replicas: the caller is to connect anew. */
+        forward_continue(forward);
+    } else if (node_is_isolated(frontend->node)) {
+        /* Makes the caller reconnect, maybe to a gateway that reaches the state replicas. */
         http_call_close_after(call);
         forward_refuse(forward, FORWARD_UNAVAILABLE, "state replicas unreachable");
     } else {
-        forward_quota_begin(forward); /* what it lacks is asked for at the same time */
+        forward_quota_begin(forward); /* the rate limit token and the turn's state are requested concurrently */
         forward_turn_begin(forward);
     }
 }
 
-void forward_go_on(struct forward *forward)
+void forward_continue(struct forward *forward)
 {
     const struct forward_turn *turn = &forward->turn;
-    bool lacks = forward->quota.ask != 0 || turn->reserving != NULL || turn->fetching != NULL;
-    if (!lacks && forward_quota_settle(forward)) {
+    bool pending = forward->quota.request_number != 0 || turn->proposal != NULL || turn->fetch != NULL;
+    if (!pending && forward_quota_after_reservation(forward)) {
         forward_place(forward);
     }
 }
 
-/* A gateway that has just started learns what is in force within moments:
- * that is worth a short wait, since callers try only a few times. */
-static void forward_wait(struct forward *forward)
+/* The configuration and the servers arrive soon after the start: a short wait saves the caller a retry. */
+static void forward_wait_for_startup(struct forward *forward)
 {
-    struct front *front = forward->front;
-    if (front->waiting >= FORWARD_MAX_WAITING) {
+    struct frontend *frontend = forward->frontend;
+    if (frontend->waiting >= FORWARD_MAX_WAITING) {
         forward_refuse(forward, FORWARD_UNAVAILABLE, "too many wait for the start");
         return;
     }
-    uint64_t share_ms = forward_number(forward, DIALECT_DEADLINE_MS, FORWARD_START_MS) / FORWARD_START_SHARE;
-    uint64_t wait_ms = share_ms < FORWARD_START_MS ? share_ms : FORWARD_START_MS;
+    uint64_t share_ms =
+        forward_header_number(forward, DIALECT_DEADLINE_MS, FORWARD_STARTUP_WAIT_MS) / FORWARD_STARTUP_WAIT_DIVISOR;
+    uint64_t wait_ms = share_ms < FORWARD_STARTUP_WAIT_MS ? share_ms : FORWARD_STARTUP_WAIT_MS;
     forward->phase = FORWARD_WAITING;
-    forward->limit_ms = forward->call->received_ms + wait_ms;
-    front->waiting++;
-    uv_timer_start(&forward->limit, forward_on_timer, forward_left_ms(forward), 0);
+    forward->deadline_ms = forward->call->received_ms + wait_ms;
+    frontend->waiting++;
+    uv_timer_start(&forward->timer, forward_on_timer, forward_time_left_ms(forward), 0);
 }
 
-void forward_resume_waiting(struct front *front)
+void forward_resume_waiting(struct frontend *frontend)
 {
     struct forward *next = NULL;
-    for (struct forward *forward = front->forwards; forward != NULL; forward = next) {
+    for (struct forward *forward = frontend->forwards; forward != NULL; forward = next) {
         next = forward->next;
         if (forward->phase == FORWARD_WAITING) {
             forward->phase = FORWARD_PREPARING;
-            front->waiting--;
-            uv_timer_stop(&forward->limit);
+            frontend->waiting--;
+            uv_timer_stop(&forward->timer);
             forward_route(forward);
         }
     }
 }
 
-void forward_start(struct front *front, struct http_call *call)
+void forward_start(struct frontend *frontend, struct http_call *call)
 {
-    struct forward *forward = forward_new(front, call);
-    if (!front_memory_admit(front, forward)) {
+    struct forward *forward = forward_new(frontend, call);
+    if (!frontend_memory_admit(frontend, forward)) {
         forward_refuse(forward, FORWARD_UNAVAILABLE, "memory full");
-    } else if (front_knows_site(front)) {
+    } else if (frontend_is_configured(frontend)) {
         forward_route(forward);
     } else {
-        forward_wait(forward);
+        forward_wait_for_startup(forward);
     }
 }
--- a/src/proxy/forward_attempt.c
+++ b/src/proxy/forward_attempt.c
@@ -1,11 +1,11 @@
-/* The servers that a request is sent to: choice, attempts, what their failures mean. */
+/* Attempts of a request at servers: server choice, sending, failures. */
 #include "proxy/forward.h"
 
 #include <stdlib.h>
 #include <string.h>
 
 #include "base/event_log.h"
-#include "core/place_wait.h"
+#include "core/queue_policy.h"
 #include "core/turn_rank.h"
 #include "proxy/caller_headers.h"
 
@@ -15,15 +15,15 @@
 
 void forward_end_attempt(struct forward_attempt *attempt)
 {
-    struct front *front = attempt->forward->front;
+    struct frontend *frontend = attempt->forward->frontend;
     if (attempt->exchange != NULL) {
-        upstream_cancel(&front->node->upstreams, attempt->exchange);
+        upstream_cancel(&frontend->node->upstreams, attempt->exchange);
     }
     if (attempt->server != NULL) {
-        server_end(&front->servers, attempt->server);
-        front->place_freed = true;
+        server_end_request(&frontend->servers, attempt->server);
+        frontend->capacity_freed = true;
     }
-    buffer_close(&attempt->lines);
+    buffer_close(&attempt->header_lines);
     buffer_close(&attempt->body);
     memset(attempt, 0, sizeof(*attempt));
 }
@@ -38,7 +38,7 @@
     }
 }
 
-static bool forward_is_asking(const struct forward *forward)
+static bool forward_has_attempt(const struct forward *forward)
 {
     for (int i = 0; i < FORWARD_MAX_PARALLEL; i++) {
         if (forward->attempts[i].forward != NULL) {
@@ -48,10 +48,9 @@
     return false;
 }
 
-/* Whether some server may have begun on the request. */
 bool forward_was_sent(const struct forward *forward)
 {
-    bool sent = forward->runs > 0;
+    bool sent = forward->possible_runs > 0;
     for (int i = 0; i < FORWARD_MAX_PARALLEL; i++) {
         const struct upstream_exchange *exchange = forward->attempts[i].exchange;
         sent = sent || (exchange != NULL && upstream_was_sent(exchange));
@@ -61,58 +60,59 @@
 
 /* ---- Placement -------------------------------------------------------------------------------- */
 
-static bool forward_part_is_usable(void *context, const char *service)
+static bool forward_backend_is_usable(void *context, const char *service)
 {
     const struct forward *forward = context;
-    const struct front *front = forward->front;
-    return server_table_serves(&front->servers, node_now(front->node), service, &forward->wish);
+    const struct frontend *frontend = forward->frontend;
+    return server_table_has_available(&frontend->servers, node_now(frontend->node), service, &forward->criteria);
 }
 
-static bool forward_is_warm(void *context, const char *address)
+static bool forward_has_idle_connection(void *context, const char *address)
 {
-    struct front *front = context;
-    return upstream_idle_count(&front->node->upstreams, address) > 0;
+    struct frontend *frontend = context;
+    return upstream_idle_count(&frontend->node->upstreams, address) > 0;
 }
 
-static uint32_t forward_rank(const struct forward *forward, const struct server *server)
+static uint32_t forward_priority_rank(const struct forward *forward, const struct server *server)
 {
-    const struct front *front = forward->front;
-    bool busy = server_is_busy(&front->servers, server, node_now(front->node));
+    const struct frontend *frontend = forward->frontend;
+    bool busy = server_is_busy(&frontend->servers, server, node_now(frontend->node));
     bool first = forward->turn.parent == NULL && text_or_empty(forward->turn.home)[0] == '\0';
     return forward->turn.program == NULL ? TURN_RANK_DEFAULT : turn_rank(busy, first);
 }
 
 bool forward_has_time(const struct forward *forward)
 {
-    return node_now(forward->front->node) + FORWARD_LEAST_MS < forward->limit_ms;
+    return node_now(forward->frontend->node) + FORWARD_MIN_REMAINING_MS < forward->deadline_ms;
 }
 
 static void forward_write_request(const struct forward *forward, const struct server *server, uint64_t left_ms,
                                   struct buffer *out)
 {
     const struct http_reader *request = forward->call->request;
-    const struct dialect *dialect = forward->front->node->dialect;
+    const struct dialect *dialect = forward->frontend->node->dialect;
     const struct buffer *history = &forward->turn.history;
     const struct buffer *body = &forward->call->body;
     buffer_append(out, request->method.data, request->method.length);
     buffer_append(out, " ", 1);
     buffer_append(out, request->target.data, request->target.length);
     buffer_append_text(out, " HTTP/1.1\r\n");
-    bool goes_on = forward->stream.event_count > 0;
-    caller_headers_write(dialect, request, goes_on ? CALLER_HEADERS_RESUMED : CALLER_HEADERS_WHOLE, out);
+    bool resumed = forward->stream.event_count > 0;
+    caller_headers_write(dialect, request, resumed ? CALLER_HEADERS_RESUMED : CALLER_HEADERS_FROM_START, out);
     buffer_printf(out, "%s: %llu\r\n", dialect->headers[DIALECT_DEADLINE_MS], (unsigned long long)left_ms);
     buffer_printf(out, "%s: %s\r\n", dialect->headers[DIALECT_EXPECT_SERVER], server->id);
-    uint32_t rank = forward_rank(forward, server);
+    uint32_t rank = forward_priority_rank(forward, server);
     if (rank != TURN_RANK_DEFAULT) {
         buffer_printf(out, "%s: %u\r\n", dialect->headers[DIALECT_PRIORITY], rank);
     }
     if (forward->tenant != NULL) {
         buffer_printf(out, "%s: %s\r\n", dialect->headers[DIALECT_TENANT], forward->tenant->name);
     }
-    if (goes_on) {
+    if (resumed) {
         buffer_printf(out, "%s: %llu\r\n", CALLER_HEADERS_LAST_EVENT, (unsigned long long)forward->stream.last_event);
     }
-    bool has_body = http_reader_has(request, "Content-Length") || http_reader_has(request, "Transfer-Encoding");
+    bool has_body =
+        http_reader_has_header(request, "Content-Length") || http_reader_has_header(request, "Transfer-Encoding");
     if (has_body || history->length > 0) {
         buffer_printf(out, "Content-Length: %zu\r\n", history->length + body->length);
     }
@@ -123,32 +123,34 @@
 
 const char *forward_unsent_reason(const struct forward_attempt *attempt)
 {
-    if (attempt->start_until_ms != 0 && node_now(attempt->forward->front->node) >= attempt->start_until_ms) {
+    if (attempt->start_token_expires_ms != 0 &&
+        node_now(attempt->forward->frontend->node) >= attempt->start_token_expires_ms) {
         return "its token for a server that has just started is too old";
     }
-    if (server_is_closed(attempt->server)) {
+    if (server_is_out_of_rotation(attempt->server)) {
         return attempt->server->zone_drained ? "the server's zone is drained" : "the server leaves";
     }
     return forward_has_time(attempt->forward) ? "no connection to the server" : "no time left to send it";
 }
 
-/* The server was chosen before a wait for a connection, in which it may have come to leave, or its zone was drained.
- * The loop's time is that of the begin of its turn: a process that stood still since has less time left. */
+/* Repeats the checks made when the server was chosen, since the attempt may have waited for a connection. Uses the real
+ * time, not the loop's: the process may have been suspended since the loop iteration began. */
 bool forward_on_write(void *owner, struct buffer *request)
 {
     struct forward_attempt *attempt = owner;
     uint64_t now_ms = node_real_now();
-    uint64_t limit_ms = attempt->forward->limit_ms;
-    bool old_token = attempt->start_until_ms != 0 && now_ms >= attempt->start_until_ms;
-    if (now_ms + FORWARD_LEAST_MS >= limit_ms || old_token || server_is_closed(attempt->server)) {
+    uint64_t deadline_ms = attempt->forward->deadline_ms;
+    bool token_expired = attempt->start_token_expires_ms != 0 && now_ms >= attempt->start_token_expires_ms;
+    if (now_ms + FORWARD_MIN_REMAINING_MS >= deadline_ms || token_expired ||
+        server_is_out_of_rotation(attempt->server)) {
         return false;
     }
-    attempt->sent_ms = node_now(attempt->forward->front->node);
-    forward_write_request(attempt->forward, attempt->server, limit_ms - now_ms, request);
+    attempt->sent_ms = node_now(attempt->forward->frontend->node);
+    forward_write_request(attempt->forward, attempt->server, deadline_ms - now_ms, request);
     return true;
 }
 
-static struct forward_attempt *forward_free_attempt(struct forward *forward)
+static struct forward_attempt *forward_find_free_attempt(struct forward *forward)
 {
     for (int i = 0; i < FORWARD_MAX_PARALLEL; i++) {
         if (forward->attempts[i].forward == NULL) {
@@ -160,96 +162,96 @@
 
 void forward_send(struct forward *forward, struct server *server)
 {
-    struct front *front = forward->front;
-    struct forward_attempt *attempt = forward_free_attempt(forward);
+    struct frontend *frontend = forward->frontend;
+    struct forward_attempt *attempt = forward_find_free_attempt(forward);
     struct address address;
     forward->phase = FORWARD_RUNNING;
     forward->sends++;
-    front->counters.sends++;
-    server_begin(server, node_now(front->node));
+    frontend->counters.sends++;
+    server_begin_request(server, node_now(frontend->node));
     attempt->forward = forward;
     attempt->server = server;
-    attempt->sent_ms = node_now(front->node);
-    attempt->start_until_ms = forward_take_start(forward, server);
+    attempt->sent_ms = node_now(frontend->node);
+    attempt->start_token_expires_ms = forward_take_start_token(forward, server);
     free(forward->last_server);
     forward->last_server = text_copy(server->id);
-    server_wish_note_tried(&forward->wish, server);
-    prefix_table_note(&server->prefixes, node_now(front->node), &forward->chain);
+    server_criteria_add_tried(&forward->criteria, server);
+    prefix_table_record(&server->prefixes, node_now(frontend->node), &forward->chain);
     address_parse(server->address, &address);
     bool head_request = http_name_equal(forward->call->request->method, "HEAD");
     attempt->exchange =
-        upstream_start(&front->node->upstreams, &address, head_request, &forward_upstream_events, attempt);
-    upstream_watch(attempt->exchange, forward_is_resumable(forward)); /* other answers are waited for, however silent */
+        upstream_start(&frontend->node->upstreams, &address, head_request, &forward_upstream_events, attempt);
+    /* Detecting a silent machine helps only if the stream can be resumed. */
+    upstream_set_keepalive(attempt->exchange, forward_is_resumable(forward));
 }
 
-static struct server *forward_choose_in_part(struct forward *forward)
+static struct server *forward_choose_in_backend(struct forward *forward)
 {
-    struct front *front = forward->front;
-    if (forward->wish.service == NULL) {
+    struct frontend *frontend = forward->frontend;
+    if (forward->criteria.service == NULL) {
         return NULL;
     }
-    forward_pace_starts(forward);
-    struct server *server = server_table_choose(&front->servers, node_now(front->node), &forward->wish);
-    forward_want_start(forward, server);
+    forward_set_start_filter(forward);
+    struct server *server = server_table_choose(&frontend->servers, node_now(frontend->node), &forward->criteria);
+    forward_demand_start_token(forward, server);
     return server;
 }
 
-/* A request that is sent again stays in its part of the route, as long as that has another server. */
-static struct server *forward_choose(struct forward *forward)
+/* NULL: none is available. A retry stays in the same backend of the route while that has another server. */
+static struct server *forward_choose_server(struct forward *forward)
 {
     struct server *bound = forward_bound_server(forward);
     if (bound != NULL) {
-        uint64_t now_ms = node_now(forward->front->node);
-        bool open = !bound->zone_drained && now_ms >= bound->full_until_ms && now_ms >= forward->bound_due_ms &&
-                    forward_may_start(forward, bound);
-        return open ? bound : NULL;
+        uint64_t now_ms = node_now(forward->frontend->node);
+        bool available = !bound->zone_drained && now_ms >= bound->full_until_ms && now_ms >= forward->bound_retry_ms &&
+                         forward_may_send_to(forward, bound);
+        return available ? bound : NULL;
     }
-    forward->wish.zone = forward->front->node->settings.zone;
-    forward->wish.regions[0] = &forward->route->regions;
-    forward->wish.regions[1] = forward->tenant == NULL ? NULL : &forward->tenant->regions;
-    forward->wish.warm = forward_is_warm;
-    forward->wish.context = forward->front;
-    forward->wish.chain = forward->chain.count > 0 ? &forward->chain : NULL;
-    forward->wish.cost = &forward->front->call_cost;
-    struct server *server = forward_choose_in_part(forward);
+    forward->criteria.zone = forward->frontend->node->settings.zone;
+    forward->criteria.region_rules[0] = &forward->route->regions;
+    forward->criteria.region_rules[1] = forward->tenant == NULL ? NULL : &forward->tenant->regions;
+    forward->criteria.has_idle_connection = forward_has_idle_connection;
+    forward->criteria.context = forward->frontend;
+    forward->criteria.chain = forward->chain.count > 0 ? &forward->chain : NULL;
+    forward->criteria.cost = &forward->frontend->call_cost;
+    struct server *server = forward_choose_in_backend(forward);
     if (server == NULL) {
-        const struct route_part *part = route_choose_part(forward->route, forward_part_is_usable, forward);
-        forward->wish.service = part == NULL ? NULL : part->service;
-        server = forward_choose_in_part(forward);
+        const struct route_backend *backend = route_choose_backend(forward->route, forward_backend_is_usable, forward);
+        forward->criteria.service = backend == NULL ? NULL : backend->service;
+        server = forward_choose_in_backend(forward);
     }
     return server;
 }
 
 static bool forward_may_queue(const struct forward *forward)
 {
-    uint64_t now_ms = node_now(forward->front->node);
+    uint64_t now_ms = node_now(forward->frontend->node);
     uint64_t waited_ms = forward->queued_ms == 0 ? 0 : now_ms - forward->queued_ms;
-    return place_may_wait(waited_ms, forward->limit_ms - now_ms);
+    return queue_policy_may_wait(waited_ms, forward->deadline_ms - now_ms);
 }
 
-/* Each part of its route has servers, and all of them are barred to it: nothing would be found by waiting. */
-static bool forward_is_barred(const struct forward *forward)
+/* Whether every backend has servers, but none that the request may use, so that queueing is useless. */
+static bool forward_all_servers_excluded(const struct forward *forward)
 {
     const struct route *route = forward->route;
-    bool barred = route->part_count > 0;
-    for (uint32_t i = 0; i < route->part_count; i++) {
-        struct server_wish wish = forward->wish;
-        wish.service = route->parts[i].service;
-        barred = barred && server_table_bars(&forward->front->servers, &wish);
+    bool excluded = route->backend_count > 0;
+    for (uint32_t i = 0; i < route->backend_count; i++) {
+        struct server_criteria criteria = forward->criteria;
+        criteria.service = route->backends[i].service;
+        excluded = excluded && server_table_all_excluded(&forward->frontend->servers, &criteria);
     }
-    return barred;
+    return excluded;
 }
 
-static const char *forward_barred_reason(const struct forward *forward)
+static const char *forward_exclusion_reason(const struct forward *forward)
 {
     bool regions = forward->route->regions.count > 0 || (forward->tenant != NULL && forward->tenant->regions.count > 0);
     return regions ? "no server in the allowed regions" : "zones drained";
 }
 
-/* Ends for want of a server. */
 static void forward_end_unplaced(struct forward *forward, const char *reason)
 {
-    if (forward->runs > 0) {
+    if (forward->possible_runs > 0) {
         forward_fail(forward, FORWARD_BAD_GATEWAY, reason);
     } else {
         forward_refuse(forward, FORWARD_UNAVAILABLE, reason);
@@ -259,119 +261,118 @@
 void forward_place(struct forward *forward)
 {
     if (!forward_has_time(forward)) {
-        forward_out_of_time(forward);
+        forward_timed_out(forward);
         return;
     }
-    if (forward->runs == 0 && !forward_tenant_still_holds(forward)) {
+    if (forward->possible_runs == 0 && !forward_tenant_is_valid(forward)) {
         forward_refuse(forward, FORWARD_UNAUTHORIZED, "key taken away");
         return;
     }
-    if (!forward_quota_is_good(forward) && !forward_quota_take(forward)) {
+    if (!forward_quota_is_fresh(forward) && !forward_quota_take(forward)) {
         forward->phase = FORWARD_PREPARING;
         return;
     }
-    struct server *server = forward_choose(forward);
+    struct server *server = forward_choose_server(forward);
     if (server != NULL) {
         forward_send(forward, server);
-    } else if (forward_is_barred(forward) || forward_is_stranded(forward)) {
-        forward_end_unplaced(forward, forward_barred_reason(forward));
+    } else if (forward_all_servers_excluded(forward) || forward_bound_server_drained(forward)) {
+        forward_end_unplaced(forward, forward_exclusion_reason(forward));
     } else if (forward_may_queue(forward)) {
-        forward_queue_join(forward);
+        forward_queue_add(forward);
     } else {
-        forward_end_unplaced(forward, forward->runs > 0 ? "no other server" : "no server");
+        forward_end_unplaced(forward, forward->possible_runs > 0 ? "no other server" : "no server");
     }
 }
 
-/* A request that may run again is sent to a second server when the first one
- * is slow to answer, as long as such seconds are few. */
+/* Hedging: a request that may run twice is sent to a second server as well if the first is slow to respond. */
 static bool forward_may_hedge(struct forward *forward)
 {
     return forward->route->kind == ROUTE_SAFE && !forward->hedged && forward->phase == FORWARD_RUNNING &&
-           forward_is_asking(forward) && forward->sends < forward->route->max_attempts && forward_has_time(forward);
+           forward_has_attempt(forward) && forward->sends < forward->route->max_attempts && forward_has_time(forward);
 }
 
 void forward_hedge(struct forward *forward)
 {
-    struct server *server = forward_may_hedge(forward) ? forward_choose(forward) : NULL;
-    if (server != NULL && retry_budget_take(&forward->front->retries)) {
+    struct server *server = forward_may_hedge(forward) ? forward_choose_server(forward) : NULL;
+    if (server != NULL && retry_budget_take(&forward->frontend->retries)) {
         forward->hedged = true;
-        forward->front->counters.hedges++;
+        forward->frontend->counters.hedges++;
         forward_send(forward, server);
     }
 }
 
 /* ---- Failures --------------------------------------------------------------------------------- */
 
-void forward_not_run(struct forward_attempt *attempt, const char *reason)
+void forward_attempt_not_run(struct forward_attempt *attempt, const char *reason)
 {
     struct forward *forward = attempt->forward;
     event_log("attempt_not_run", "{s:s,s:s,s:s,s:i}", "id", text_or_empty(forward->id), "server", attempt->server->id,
               "reason", reason, "sends", (int)forward->sends);
     forward_end_attempt(attempt);
-    if (forward_is_asking(forward)) {
+    if (forward_has_attempt(forward)) {
         return;
     }
-    forward->bound_due_ms = node_now(forward->front->node) + SERVER_SHED_PAUSE_MS;
-    if (forward->sends >= FORWARD_MAX_SENDS && forward->runs == 0) {
+    forward->bound_retry_ms = node_now(forward->frontend->node) + SERVER_FULL_PAUSE_MS;
+    if (forward->sends >= FORWARD_MAX_SENDS && forward->possible_runs == 0) {
         forward_refuse(forward, FORWARD_UNAVAILABLE, reason);
         return;
     }
     forward_place(forward);
 }
 
-/* Where this process itself stood still meanwhile, the failure is not the server's. */
-static void forward_note_failure(const struct forward_attempt *attempt)
+/* Not counted if this process was suspended since the attempt was sent: the server may not be at fault. */
+static void forward_record_failure(const struct forward_attempt *attempt)
 {
-    const struct node *node = attempt->forward->front->node;
-    if (attempt->sent_ms >= node->woke_ms) {
-        health_note(&attempt->server->health, node_now(node), HEALTH_FAILED);
+    const struct node *node = attempt->forward->frontend->node;
+    if (attempt->sent_ms >= node->stall_end_ms) {
+        health_record(&attempt->server->health, node_now(node), HEALTH_FAILED);
     }
 }
 
-void forward_may_have_run(struct forward_attempt *attempt, const char *reason)
+void forward_attempt_outcome_unknown(struct forward_attempt *attempt, const char *reason)
 {
     struct forward *forward = attempt->forward;
     event_log("attempt_unknown", "{s:s,s:s,s:s,s:i,s:b}", "id", text_or_empty(forward->id), "server",
               attempt->server->id, "reason", reason, "sends", (int)forward->sends, "answer_begun",
-              forward->stream.begun);
-    forward->runs++;
-    forward_note_failure(attempt);
+              forward->stream.head_sent);
+    forward->possible_runs++;
+    forward_record_failure(attempt);
     if (forward_resume(attempt, reason)) {
         return;
     }
     forward_end_attempt(attempt);
-    if (forward_is_asking(forward)) {
+    if (forward_has_attempt(forward)) {
         return;
     }
-    bool again = !forward->stream.begun && forward->route->kind == ROUTE_SAFE &&
-                 forward->runs < forward->route->max_attempts && forward->sends < FORWARD_MAX_SENDS;
-    if (again) {
+    bool may_retry = !forward->stream.head_sent && forward->route->kind == ROUTE_SAFE &&
+                     forward->possible_runs < forward->route->max_attempts && forward->sends < FORWARD_MAX_SENDS;
+    if (may_retry) {
         forward_place(forward);
     } else {
         forward_fail(forward, FORWARD_BAD_GATEWAY, reason);
     }
 }
 
-/* ---- Silence ------------------------------------------------------------------------------------- */
+/* ---- Unanswered attempts ------------------------------------------------------------------------------------- */
 
-static uint64_t forward_patience_ms(const struct forward *forward)
+static uint64_t forward_unanswered_after_ms(const struct forward *forward)
 {
-    uint64_t aimed_ms = HEALTH_UNANSWERED_AIMS * forward->route->target_latency_ms;
-    return aimed_ms > HEALTH_UNANSWERED_MS ? aimed_ms : HEALTH_UNANSWERED_MS;
+    uint64_t scaled_target_ms = HEALTH_UNANSWERED_TARGETS * forward->route->target_latency_ms;
+    return scaled_target_ms > HEALTH_UNANSWERED_MS ? scaled_target_ms : HEALTH_UNANSWERED_MS;
 }
 
-void forward_note_silence(struct forward *forward)
+void forward_report_unanswered(struct forward *forward)
 {
-    const struct node *node = forward->front->node;
+    const struct node *node = forward->frontend->node;
     uint64_t now_ms = node_now(node);
     for (int i = 0; i < FORWARD_MAX_PARALLEL; i++) {
         struct forward_attempt *attempt = &forward->attempts[i];
-        uint64_t since_ms = attempt->sent_ms > node->woke_ms ? attempt->sent_ms : node->woke_ms;
-        bool silent = attempt->exchange != NULL && attempt->status == 0 && !attempt->silent &&
-                      now_ms >= since_ms + forward_patience_ms(forward);
-        if (silent) {
-            attempt->silent = true;
-            server_unanswered(&forward->front->servers, attempt->server, now_ms);
+        uint64_t since_ms = attempt->sent_ms > node->stall_end_ms ? attempt->sent_ms : node->stall_end_ms;
+        bool unanswered = attempt->exchange != NULL && attempt->status == 0 && !attempt->unanswered_reported &&
+                          now_ms >= since_ms + forward_unanswered_after_ms(forward);
+        if (unanswered) {
+            attempt->unanswered_reported = true;
+            server_record_unanswered(&forward->frontend->servers, attempt->server, now_ms);
         }
     }
 }
--- a/src/proxy/forward_queue.c
+++ b/src/proxy/forward_queue.c
@@ -1,54 +1,54 @@
-/* Requests that wait for a place at a server; who waits, and how long, is decided in core/place_wait.h. */
+/* Queue of requests that wait for a server with capacity (core/queue_policy.h). */
 #include <stdlib.h>
 
-#include "core/place_wait.h"
+#include "core/queue_policy.h"
 #include "proxy/forward.h"
 
-void forward_queue_join(struct forward *forward)
+void forward_queue_add(struct forward *forward)
 {
-    struct front *front = forward->front;
+    struct frontend *frontend = forward->frontend;
     if (forward->queued_ms == 0) {
-        forward->queued_ms = node_now(front->node);
-        front->counters.queued++;
+        forward->queued_ms = node_now(frontend->node);
+        frontend->counters.queued++;
     }
     forward->phase = FORWARD_QUEUED;
-    front->queued++;
+    frontend->queued++;
 }
 
-/* Servers that refused it may have places by now. */
+/* Servers that refused the request may have capacity by now: they are tried again if certainly no server has run it. */
 static void forward_queue_leave(struct forward *forward)
 {
     forward->phase = FORWARD_PREPARING;
-    forward->front->queued--;
-    if (forward->runs == 0) {
-        forward->wish.tried_count = 0;
+    forward->frontend->queued--;
+    if (forward->possible_runs == 0) {
+        forward->criteria.tried_count = 0;
     }
 }
 
-static place_order_t forward_queue_order(const struct forward *forward)
+static queue_policy_key_t forward_queue_key(const struct forward *forward)
 {
     const struct route_tenant *tenant = forward->tenant;
-    return (place_order_t){
-        .tenant_priority = tenant != NULL && tenant->ranked ? tenant->priority : 0,
+    return (queue_policy_key_t){
+        .tenant_priority = tenant != NULL && tenant->has_priority ? tenant->priority : 0,
         .route_priority = forward->route->priority,
-        .due_ms = forward->program_due_ms,
-        .since_ms = forward->queued_ms,
+        .deadline_ms = forward->program_deadline_ms,
+        .queued_ms = forward->queued_ms,
     };
 }
 
 static int forward_queue_compare(const void *a, const void *b)
 {
-    place_order_t left = forward_queue_order(*(struct forward *const *)a);
-    place_order_t right = forward_queue_order(*(struct forward *const *)b);
-    return place_compare(&left, &right);
+    queue_policy_key_t left = forward_queue_key(*(struct forward *const *)a);
+    queue_policy_key_t right = forward_queue_key(*(struct forward *const *)b);
+    return queue_policy_compare(&left, &right);
 }
 
-/* Those that wait, in the order in which they are served. */
-static struct forward **forward_queue_list(const struct front *front, size_t *count)
+/* Queued requests in the order in which they are served; the caller frees the list. */
+static struct forward **forward_queue_list(const struct frontend *frontend, size_t *count)
 {
-    struct forward **list = memory_new((front->queued + 1U) * sizeof(struct forward *));
+    struct forward **list = memory_new((frontend->queued + 1U) * sizeof(struct forward *));
     *count = 0;
-    for (struct forward *forward = front->forwards; forward != NULL; forward = forward->next) {
+    for (struct forward *forward = frontend->forwards; forward != NULL; forward = forward->next) {
         if (forward->phase == FORWARD_QUEUED) {
             list[(*count)++] = forward;
         }
@@ -57,10 +57,10 @@
     return list;
 }
 
-void forward_queue_serve(struct front *front)
+void forward_queue_serve(struct frontend *frontend)
 {
     size_t count = 0;
-    struct forward **list = forward_queue_list(front, &count);
+    struct forward **list = forward_queue_list(frontend, &count);
     for (size_t i = 0; i < count; i++) {
         forward_queue_leave(list[i]);
         forward_place(list[i]);
--- a/src/proxy/forward_quota.c
+++ b/src/proxy/forward_quota.c
@@ -1,4 +1,4 @@
-/* What a tenant may still ask for: a token for each request, held here or asked of the leader (core/quota_purse.h). */
+/* Rate limits of tenants: each request takes a token leased from the leader (core/quota_lease.h). */
 #include <stdlib.h>
 
 #include "base/event_log.h"
@@ -7,96 +7,96 @@
 
 enum {
     FORWARD_TOO_MANY = 429,
-    FORWARD_NO_STATE = 503,
-    FORWARD_QUOTA_MS = 800,      /* time in which the leader answers; a caller's own time may end sooner */
-    FORWARD_TOKEN_GOOD_MS = 500, /* time after which a request that has not been sent needs another token */
-    FORWARD_RETRY_SPREAD = 4     /* callers come back within a further part, one in so many, of the time told */
+    FORWARD_UNAVAILABLE = 503,
+    FORWARD_QUOTA_TIMEOUT_MS = 800,  /* of a request to the leader; a caller's deadline may be earlier */
+    FORWARD_TOKEN_LIFETIME_MS = 500, /* after this, an unsent request needs another token */
+    FORWARD_RETRY_JITTER_DIVISOR = 4 /* Retry-After is extended by a random part of up to 1 / this */
 };
 
-/* An ask under way. */
-struct forward_quota_ask {
-    struct front *front;
+struct forward_quota_request {
+    struct frontend *frontend;
     uint64_t number;
-    uint64_t asked_ms;
+    uint64_t sent_ms;
 };
 
-static bool forward_has_limit(const struct forward *forward)
+static bool forward_is_rate_limited(const struct forward *forward)
 {
     return forward->tenant != NULL && forward->tenant->rate_per_s > 0;
 }
 
-static void forward_quota_pass(struct forward *forward)
+static void forward_quota_record_taken(struct forward *forward)
 {
-    struct front *front = forward->front;
-    forward->quota.taken_ms = node_now(front->node);
+    struct frontend *frontend = forward->frontend;
+    forward->quota.token_taken_ms = node_now(frontend->node);
     if (forward->turn.program != NULL) {
-        program_set_note(&front->programs, node_now(front->node), forward->turn.program);
+        program_set_record(&frontend->programs, node_now(frontend->node), forward->turn.program);
     }
 }
 
 void forward_quota_begin(struct forward *forward)
 {
-    struct front *front = forward->front;
+    struct frontend *frontend = forward->frontend;
     const struct forward_turn *turn = &forward->turn;
-    if (!forward_has_limit(forward)) {
+    if (!forward_is_rate_limited(forward)) {
         return;
     }
-    forward->quota.may_begin = turn->program != NULL &&
-                               !program_set_has(&front->programs, node_now(front->node), turn->program) &&
-                               turn->parent == NULL;
-    if (!forward->quota.may_begin) {
+    forward->quota.may_start_program = turn->program != NULL &&
+                                       !program_set_has(&frontend->programs, node_now(frontend->node), turn->program) &&
+                                       turn->parent == NULL;
+    if (!forward->quota.may_start_program) {
         forward_quota_take(forward);
     }
 }
 
-/* A program whose turns have run nowhere yet begins with this one. */
-bool forward_quota_settle(struct forward *forward)
+/* A program without a home server has not run a turn yet. */
+bool forward_quota_after_reservation(struct forward *forward)
 {
-    if (!forward->quota.may_begin) {
+    if (!forward->quota.may_start_program) {
         return true;
     }
-    forward->quota.may_begin = false;
-    forward->quota.begins = text_or_empty(forward->turn.home)[0] == '\0';
+    forward->quota.may_start_program = false;
+    forward->quota.starts_program = text_or_empty(forward->turn.home)[0] == '\0';
     return forward_quota_take(forward);
 }
 
-void forward_quota_end(struct forward *forward)
+void forward_quota_return(struct forward *forward)
 {
-    if (forward->quota.taken_ms != 0 && forward->sends == 0) {
-        quota_purses_return(&forward->front->purses, forward->tenant->hash);
+    if (forward->quota.token_taken_ms != 0 && forward->sends == 0) {
+        quota_leases_return(&forward->frontend->tenant_leases, forward->tenant->hash);
     }
 }
 
 bool forward_quota_take(struct forward *forward)
 {
-    struct front *front = forward->front;
-    uint64_t now_ms = node_now(front->node);
-    quota_use_t use = forward->quota.begins ? QUOTA_USE_BEGIN : QUOTA_USE_REQUEST;
-    if (!forward_has_limit(forward)) {
+    struct frontend *frontend = forward->frontend;
+    uint64_t now_ms = node_now(frontend->node);
+    quota_use_t use = forward->quota.starts_program ? QUOTA_USE_BEGIN : QUOTA_USE_REQUEST;
+    if (!forward_is_rate_limited(forward)) {
         return true;
     }
-    if (quota_purses_take(&front->purses, now_ms, forward->tenant->hash, use)) {
-        forward_quota_pass(forward);
+    if (quota_leases_take(&frontend->tenant_leases, now_ms, forward->tenant->hash, use)) {
+        forward_quota_record_taken(forward);
         return true;
     }
-    forward->quota.ask = front->quota_asks + 1;
+    forward->quota.request_number = frontend->quota_requests + 1;
     return false;
 }
 
-bool forward_quota_is_good(const struct forward *forward)
+bool forward_quota_is_fresh(const struct forward *forward)
 {
-    uint64_t good_until_ms = forward->quota.taken_ms + FORWARD_TOKEN_GOOD_MS;
-    return !forward_has_limit(forward) || forward->runs > 0 || node_now(forward->front->node) < good_until_ms;
+    uint64_t expires_ms = forward->quota.token_taken_ms + FORWARD_TOKEN_LIFETIME_MS;
+    return !forward_is_rate_limited(forward) || forward->possible_runs > 0 ||
+           node_now(forward->frontend->node) < expires_ms;
 }
 
-/* Those that were refused together do not come back together. */
-static uint64_t forward_spread(struct front *front, uint64_t retry_ms)
+/* Requests refused together must not be retried together. Linear congruential generator with Knuth's MMIX constants. */
+static uint64_t forward_add_jitter(struct frontend *frontend, uint64_t retry_ms)
 {
-    front->spread = front->spread * 6364136223846793005ULL + 1442695040888963407ULL;
-    return retry_ms + (front->spread >> 32) % (retry_ms / FORWARD_RETRY_SPREAD + 1);
+    frontend->jitter_state = frontend->jitter_state * 6364136223846793005ULL + 1442695040888963407ULL;
+    return retry_ms + (frontend->jitter_state >> 32) % (retry_ms / FORWARD_RETRY_JITTER_DIVISOR + 1);
 }
 
-static QuotaShare *forward_share_of(const QuotaGrant *grant, uint64_t tenant)
+static QuotaShare *forward_find_share(const QuotaGrant *grant, uint64_t tenant)
 {
     for (pb_size_t i = 0; i < grant->shares_count; i++) {
         if (grant->shares[i].tenant == tenant) {
@@ -106,84 +106,85 @@
     return NULL;
 }
 
-static void forward_log_refused(const struct forward *forward)
+static void forward_log_quota_refused(const struct forward *forward)
 {
     const struct route_tenant *tenant = forward->tenant;
-    event_log_within("quota_refused", "request", "{s:s,s:s,s:b,s:f,s:f,s:I,s:I}", "id", text_or_empty(forward->id),
-                     "tenant", tenant->name, "begins", forward->quota.begins, "rate_per_s", tenant->rate_per_s, "burst",
-                     tenant->burst, "configuration", (json_int_t)forward->table->version, "retry_ms",
-                     (json_int_t)forward->quota.retry_ms);
+    event_log_with_budget("quota_refused", "request", "{s:s,s:s,s:b,s:f,s:f,s:I,s:I}", "id", text_or_empty(forward->id),
+                          "tenant", tenant->name, "begins", forward->quota.starts_program, "rate_per_s",
+                          tenant->rate_per_s, "burst", tenant->burst, "configuration",
+                          (json_int_t)forward->table->version, "retry_ms", (json_int_t)forward->quota.retry_after_ms);
 }
 
-static uint32_t *forward_share_part(const struct forward *forward, QuotaShare *share)
+static uint32_t *forward_share_tokens(const struct forward *forward, QuotaShare *share)
 {
-    return forward->quota.begins ? &share->begun : &share->granted;
+    return forward->quota.starts_program ? &share->begun : &share->granted;
 }
 
-static void forward_quota_answered(struct forward *forward, const QuotaGrant *grant)
+static void forward_quota_apply_grant(struct forward *forward, const QuotaGrant *grant)
 {
-    struct front *front = forward->front;
-    QuotaShare *share = grant == NULL ? NULL : forward_share_of(grant, forward->tenant->hash);
-    forward->quota.ask = 0;
+    struct frontend *frontend = forward->frontend;
+    QuotaShare *share = grant == NULL ? NULL : forward_find_share(grant, forward->tenant->hash);
+    forward->quota.request_number = 0;
     if (share == NULL) {
-        forward_refuse(forward, FORWARD_NO_STATE, "quota not learnt");
-    } else if (*forward_share_part(forward, share) == 0) {
-        front->counters.quota_refusals++;
-        forward->quota.retry_ms = forward_spread(front, share->retry_ms);
-        forward_log_refused(forward);
+        forward_refuse(forward, FORWARD_UNAVAILABLE, "quota not learnt");
+    } else if (*forward_share_tokens(forward, share) == 0) {
+        frontend->counters.quota_refusals++;
+        forward->quota.retry_after_ms = forward_add_jitter(frontend, share->retry_ms);
+        forward_log_quota_refused(forward);
         forward_refuse(forward, FORWARD_TOO_MANY,
-                       forward->quota.begins ? "begins over the tenant's limit" : "over the tenant's limit");
+                       forward->quota.starts_program ? "begins over the tenant's limit" : "over the tenant's limit");
     } else {
-        (*forward_share_part(forward, share))--;
-        forward->quota.begins = false; /* what is asked for from now on is for a program under way */
-        forward_quota_pass(forward);
-        forward_go_on(forward);
+        (*forward_share_tokens(forward, share))--;
+        forward->quota.starts_program = false; /* any further token is for a program that has started */
+        forward_quota_record_taken(forward);
+        forward_continue(forward);
     }
 }
 
-/* Those that wait for an ask, in the order in which they came. */
-static struct forward **forward_quota_waiting(const struct front *front, uint64_t ask, size_t *count)
+/* Requests that wait for the response to quota request `number`, newest first; the caller frees the list. */
+static struct forward **forward_quota_list_waiting(const struct frontend *frontend, uint64_t number, size_t *count)
 {
-    struct forward **list = memory_new((front->active + 1U) * sizeof(struct forward *));
+    struct forward **list = memory_new((frontend->active + 1U) * sizeof(struct forward *));
     *count = 0;
-    for (struct forward *forward = front->forwards; forward != NULL; forward = forward->next) {
-        if (forward->quota.ask == ask) {
+    for (struct forward *forward = frontend->forwards; forward != NULL; forward = forward->next) {
+        if (forward->quota.request_number == number) {
             list[(*count)++] = forward;
         }
     }
     return list;
 }
 
-static void forward_on_quota(void *context, ResultCode code, struct view body)
+static void forward_on_quota_reply(void *context, ResultCode code, struct view body)
 {
-    struct forward_quota_ask *ask = context;
-    struct front *front = ask->front;
+    struct forward_quota_request *request = context;
+    struct frontend *frontend = request->frontend;
     QuotaGrant grant = {0};
     size_t count = 0;
     bool answered = code == RESULT_OK && message_decode(body, QuotaGrant_fields, &grant);
-    struct forward **list = forward_quota_waiting(front, ask->number, &count);
+    struct forward **list = forward_quota_list_waiting(frontend, request->number, &count);
     while (count > 0) {
-        forward_quota_answered(list[--count], answered ? &grant : NULL); /* the newest stands first */
+        forward_quota_apply_grant(list[--count], answered ? &grant : NULL); /* oldest first */
     }
     for (pb_size_t i = 0; i < grant.shares_count; i++) {
         const QuotaShare *share = &grant.shares[i];
-        quota_purses_put(&front->purses, ask->asked_ms, share->tenant, share->granted + share->begun);
+        quota_leases_add(&frontend->tenant_leases, request->sent_ms, share->tenant, share->granted + share->begun);
     }
     message_free(QuotaGrant_fields, &grant);
     free(list);
-    free(ask);
+    free(request);
 }
 
-void forward_quota_ask(struct front *front)
+void forward_quota_request(struct frontend *frontend)
 {
-    struct node *node = front->node;
-    struct forward_quota_ask *ask = memory_new(sizeof(*ask));
+    struct node *node = frontend->node;
+    struct forward_quota_request *request = memory_new(sizeof(*request));
     struct buffer body = {0};
-    QuotaAsk demands;
-    quota_purses_ask(&front->purses, node_now(node), &demands);
-    message_encode(&body, QuotaAsk_fields, &demands);
-    free(demands.demands);
-    *ask = (struct forward_quota_ask){front, ++front->quota_asks, node_now(node)};
-    node_submit(node, REQUEST_QUOTA, buffer_view(&body), node_now(node) + FORWARD_QUOTA_MS, forward_on_quota, ask);
+    QuotaAsk ask;
+    quota_leases_fill_request(&frontend->tenant_leases, node_now(node), &ask);
+    message_encode(&body, QuotaAsk_fields, &ask);
+    free(ask.demands);
+    *request = (struct forward_quota_request){frontend, ++frontend->quota_requests, node_now(node)};
+    node_submit(node, REQUEST_QUOTA, buffer_view(&body), node_now(node) + FORWARD_QUOTA_TIMEOUT_MS,
+                forward_on_quota_reply, request);
     buffer_close(&body);
 }
--- a/src/proxy/forward_turn.c
+++ b/src/proxy/forward_turn.c
@@ -1,4 +1,4 @@
-/* A request as a turn of a program: budget, conversation, storage. */
+/* Turns of programs: budget reservation, conversation, storage. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -7,10 +7,10 @@
 #include "core/budget_table.h"
 #include "proxy/forward.h"
 
-enum { FORWARD_PAYMENT_REQUIRED = 402, FORWARD_NO_TURN = 404, FORWARD_NO_STATE = 503 };
+enum { FORWARD_PAYMENT_REQUIRED = 402, FORWARD_NOT_FOUND = 404, FORWARD_UNAVAILABLE = 503 };
 
-/* A reservation that is not given back is held against its program: it is tried for as long as that is remembered. */
-enum { FORWARD_SETTLE_MS = BUDGET_RETENTION_MS };
+/* As long as the state replicas keep the reservation, which counts against the budget until it is settled. */
+enum { FORWARD_SETTLE_TIMEOUT_MS = BUDGET_RETENTION_MS };
 
 void forward_turn_read(struct forward *forward)
 {
@@ -18,38 +18,38 @@
     if (!forward->route->turns) {
         return;
     }
-    char *program = forward_text(forward, DIALECT_PROGRAM);
+    char *program = forward_header_text(forward, DIALECT_PROGRAM);
     if (program == NULL) {
         return;
     }
     turn->program = forward_tenant_program(forward, program);
     free(program);
-    turn->keep = forward->route->stateful;
-    turn->parent = turn->keep ? forward_text(forward, DIALECT_PARENT_TURN) : NULL;
-    turn->budget = forward_number(forward, DIALECT_TOKEN_BUDGET, UINT64_MAX / 2);
-    char *usage = forward_text(forward, DIALECT_TOKEN_USAGE);
+    turn->persistent = forward->route->stateful;
+    turn->parent = turn->persistent ? forward_header_text(forward, DIALECT_PARENT_TURN) : NULL;
+    turn->budget_tokens = forward_header_number(forward, DIALECT_TOKEN_BUDGET, UINT64_MAX / 2);
+    char *usage = forward_header_text(forward, DIALECT_TOKEN_USAGE);
     const char *comma = usage == NULL ? NULL : strchr(usage, ',');
-    turn->most = comma == NULL ? 0 : strtoull(comma + 1, NULL, 10);
+    turn->max_tokens = comma == NULL ? 0 : strtoull(comma + 1, NULL, 10);
     free(usage);
-    if (forward->front->call_cost.tokens == 0) {
-        prefix_cost_note(&forward->front->call_cost, forward->own_tokens, turn->most);
+    if (forward->frontend->call_cost.tokens == 0) {
+        prefix_cost_record(&forward->frontend->call_cost, forward->own_tokens, turn->max_tokens);
     }
 }
 
-uint64_t forward_chunk_tokens(const struct forward *forward)
+uint64_t forward_tokens_per_event(const struct forward *forward)
 {
     const struct route_service *service =
-        forward->wish.service == NULL ? NULL : route_table_service(forward->table, forward->wish.service);
+        forward->criteria.service == NULL ? NULL : route_table_service(forward->table, forward->criteria.service);
     return service == NULL || service->chunk_tokens == 0 ? 1 : service->chunk_tokens;
 }
 
-/* The state replicas may take a while to elect a leader; most of the caller's time stays for another try. */
-static uint64_t forward_state_deadline(const struct forward *forward)
+/* Loop time. An election may delay the state replicas; most of the caller's time is kept for a retry. */
+static uint64_t forward_replica_deadline_ms(const struct forward *forward)
 {
-    uint64_t now_ms = node_now(forward->front->node);
-    uint64_t left_ms = forward->limit_ms > now_ms ? forward->limit_ms - now_ms : 0;
-    uint64_t share_ms = left_ms * FORWARD_STATE_PERCENT / 100;
-    return now_ms + (share_ms < FORWARD_STATE_MS ? share_ms : FORWARD_STATE_MS);
+    uint64_t now_ms = node_now(forward->frontend->node);
+    uint64_t left_ms = forward->deadline_ms > now_ms ? forward->deadline_ms - now_ms : 0;
+    uint64_t share_ms = left_ms * FORWARD_STATE_MAX_PERCENT / 100;
+    return now_ms + (share_ms < FORWARD_STATE_TIMEOUT_MS ? share_ms : FORWARD_STATE_TIMEOUT_MS);
 }
 
 /* ---- Before the turn runs ------------------------------------------------------------------ */
@@ -58,47 +58,47 @@
 {
     struct forward *forward = context;
     EntryResult result = {0};
-    forward->turn.reserving = NULL;
+    forward->turn.proposal = NULL;
     if (code == RESULT_OK && message_decode(body, EntryResult_fields, &result)) {
         code = result.code;
         forward->turn.home = text_copy(result.engine);
-        forward->wish.home = forward->route->sticky ? forward->turn.home : NULL;
+        forward->criteria.home = forward->route->sticky ? forward->turn.home : NULL;
         message_free(EntryResult_fields, &result);
     }
-    histogram_note(&forward->front->begin, node_now(forward->front->node) - forward->turn.since_ms);
+    histogram_record(&forward->frontend->reserve_time, node_now(forward->frontend->node) - forward->turn.proposed_ms);
     if (code == RESULT_OK) {
-        forward_go_on(forward);
+        forward_continue(forward);
     } else if (code == RESULT_BUDGET) {
-        forward->front->counters.budget_refusals++;
-        forward->turn.begun = false;
+        forward->frontend->counters.budget_refusals++;
+        forward->turn.reservation_sent = false;
         forward_refuse(forward, FORWARD_PAYMENT_REQUIRED, "budget spent");
     } else if (code == RESULT_LIMIT) {
-        forward->turn.begun = false;
-        forward_refuse(forward, FORWARD_NO_STATE, "state full");
+        forward->turn.reservation_sent = false;
+        forward_refuse(forward, FORWARD_UNAVAILABLE, "state full");
     } else {
-        forward_refuse(forward, FORWARD_NO_STATE, "budget not learnt");
+        forward_refuse(forward, FORWARD_UNAVAILABLE, "budget not learnt");
     }
 }
 
 static void forward_turn_reserve(struct forward *forward)
 {
     struct forward_turn *turn = &forward->turn;
-    struct node *node = forward->front->node;
+    struct node *node = forward->frontend->node;
     Entry entry = {0};
     entry.which_command = Entry_turn_begin_tag;
     entry.command.turn_begin.turn = forward->id;
     entry.command.turn_begin.program = turn->program;
-    entry.command.turn_begin.budget_tokens = turn->budget;
-    entry.command.turn_begin.reserve_tokens = turn->most;
-    turn->begun = true;
-    turn->since_ms = node_now(node);
-    turn->reserving = node_propose(node, &entry, forward_state_deadline(forward), forward_on_reserved, forward);
+    entry.command.turn_begin.budget_tokens = turn->budget_tokens;
+    entry.command.turn_begin.reserve_tokens = turn->max_tokens;
+    turn->reservation_sent = true;
+    turn->proposed_ms = node_now(node);
+    turn->proposal = node_propose(node, &entry, forward_replica_deadline_ms(forward), forward_on_reserved, forward);
 }
 
-/* Keeps a fetched chain near, and takes the conversation from it. */
-static bool forward_take_chain(struct forward *forward, struct view body)
+/* Caches a fetched chain of turns, and appends its text to the conversation. False: the chain is malformed. */
+static bool forward_apply_chain(struct forward *forward, struct view body)
 {
-    struct front *front = forward->front;
+    struct frontend *frontend = forward->frontend;
     TurnChain chain = {0};
     if (!message_decode(body, TurnChain_fields, &chain)) {
         return false;
@@ -111,7 +111,7 @@
             .output = chain.turns[i].output,
             .tenant = chain.turns[i].tenant,
         };
-        turn_store_add(&front->cache, node_now(front->node), &content);
+        turn_store_add(&frontend->cache, node_now(frontend->node), &content);
         buffer_append(&forward->turn.history, content.input.data, content.input.length);
         buffer_append(&forward->turn.history, content.output.data, content.output.length);
     }
@@ -122,13 +122,13 @@
 static void forward_on_fetched(void *context, ResultCode code, struct view body)
 {
     struct forward *forward = context;
-    forward->turn.fetching = NULL;
-    if (code == RESULT_OK && forward_take_chain(forward, body)) {
-        forward_go_on(forward);
+    forward->turn.fetch = NULL;
+    if (code == RESULT_OK && forward_apply_chain(forward, body)) {
+        forward_continue(forward);
     } else if (code == RESULT_NOT_FOUND) {
-        forward_refuse(forward, FORWARD_NO_TURN, "no such turn");
+        forward_refuse(forward, FORWARD_NOT_FOUND, "no such turn");
     } else {
-        forward_refuse(forward, FORWARD_NO_STATE, "conversation not learnt");
+        forward_refuse(forward, FORWARD_UNAVAILABLE, "conversation not learnt");
     }
 }
 
@@ -138,91 +138,92 @@
     message_encode(out, TurnQuery_fields, &query);
 }
 
-/* Only the leader can be sure that a turn is not there. */
+/* Only the leader knows for certain that a turn does not exist. */
 static void forward_fetch_from_leader(struct forward *forward)
 {
-    struct node *node = forward->front->node;
+    struct node *node = forward->frontend->node;
     struct buffer body = {0};
     forward_encode_query(forward, &body);
-    forward->turn.fetching = node_submit(node, REQUEST_TURNS, buffer_view(&body), forward_state_deadline(forward),
-                                         forward_on_fetched, forward);
+    forward->turn.fetch = node_submit(node, REQUEST_TURNS, buffer_view(&body), forward_replica_deadline_ms(forward),
+                                      forward_on_fetched, forward);
     buffer_close(&body);
 }
 
-static void forward_on_fetched_near(void *context, ResultCode code, struct view body)
+static void forward_on_fetched_nearby(void *context, ResultCode code, struct view body)
 {
     struct forward *forward = context;
-    forward->turn.fetching = NULL;
-    if (code == RESULT_OK && forward_take_chain(forward, body)) {
-        forward_go_on(forward);
+    forward->turn.fetch = NULL;
+    if (code == RESULT_OK && forward_apply_chain(forward, body)) {
+        forward_continue(forward);
     } else {
         forward_fetch_from_leader(forward);
     }
 }
 
-/* Appends the conversation; false: it was refused. */
-static bool forward_take_cached(struct forward *forward, const struct turn *parent)
+/* Appends the cached conversation; false: the request was refused. */
+static bool forward_use_cached(struct forward *forward, const struct turn *parent)
 {
-    struct front *front = forward->front;
-    if (!turn_is_of(parent, forward_tenant_hash(forward))) {
-        forward_refuse(forward, FORWARD_NO_TURN, "no such turn");
+    struct frontend *frontend = forward->frontend;
+    if (!turn_is_visible_to(parent, forward_tenant_hash(forward))) {
+        forward_refuse(forward, FORWARD_NOT_FOUND, "no such turn");
         return false;
     }
-    front->counters.cache_hits++;
-    turn_chain_text(&front->cache, parent, &forward->turn.history);
+    frontend->counters.cache_hits++;
+    turn_chain_text(&frontend->cache, parent, &forward->turn.history);
     return true;
 }
 
-/* False: it was refused. */
+/* Takes the conversation from the cache, a nearby replica or the leader; false: the request was refused. */
 static bool forward_turn_fetch(struct forward *forward)
 {
-    struct front *front = forward->front;
-    struct node *node = front->node;
-    const struct turn *parent = turn_store_find(&front->cache, forward->turn.parent);
+    struct frontend *frontend = forward->frontend;
+    struct node *node = frontend->node;
+    const struct turn *parent = turn_store_find(&frontend->cache, forward->turn.parent);
     if (parent != NULL) {
-        return forward_take_cached(forward, parent);
+        return forward_use_cached(forward, parent);
     }
-    front->counters.cache_misses++;
-    uint32_t near = node->host != NULL ? node->id : watch_client_member(&node->watch);
-    if (near == RAFT_NO_NODE) {
+    frontend->counters.cache_misses++;
+    uint32_t nearby = node->host != NULL ? node->id : watch_client_choose_member(&node->watch);
+    if (nearby == RAFT_NO_NODE) {
         forward_fetch_from_leader(forward);
         return true;
     }
     struct buffer body = {0};
     forward_encode_query(forward, &body);
-    forward->turn.fetching = node_ask(node, near, REQUEST_TURNS_HELD, buffer_view(&body),
-                                      node_now(node) + FORWARD_NEAR_MS, forward_on_fetched_near, forward);
+    forward->turn.fetch =
+        node_submit_to_replica(node, nearby, REQUEST_TURNS_HELD, buffer_view(&body),
+                               node_now(node) + FORWARD_NEARBY_TIMEOUT_MS, forward_on_fetched_nearby, forward);
     buffer_close(&body);
     return true;
 }
 
-/* What is kept goes to every member of the replicas' group. */
 static bool forward_may_store_at(const struct forward *forward, const char *region)
 {
-    bool route = route_regions_allow(&forward->route->regions, region);
-    return route && (forward->tenant == NULL || route_regions_allow(&forward->tenant->regions, region));
+    bool route_allows = route_regions_allow(&forward->route->regions, region);
+    return route_allows && (forward->tenant == NULL || route_regions_allow(&forward->tenant->regions, region));
 }
 
-/* The caller's own region, which is this gateway's, has what was said anyhow. */
+/* A stored turn reaches every state replica, so all must be in allowed regions. This gateway's own region is always
+ * allowed, since the conversation passes through it anyway. */
 static bool forward_may_store(const struct forward *forward)
 {
-    const struct node *node = forward->front->node;
-    const zone_place_t *places = node->settings.zones.items;
+    const struct node *node = forward->frontend->node;
+    const zone_info_t *zones = node->settings.zones.items;
     size_t count = node->settings.zones.count;
-    const char *own = zone_region(places, count, node->settings.zone);
-    bool may = true;
-    for (uint32_t i = 0; may && i < node->state.members.count; i++) {
-        const char *region = zone_region(places, count, node->state.members.places[i].zone);
-        bool same = own != NULL && region != NULL && strcmp(own, region) == 0;
-        may = same || forward_may_store_at(forward, region);
+    const char *own_region = zone_region(zones, count, node->settings.zone);
+    bool allowed = true;
+    for (uint32_t i = 0; allowed && i < node->state.members.count; i++) {
+        const char *region = zone_region(zones, count, node->state.members.locations[i].zone);
+        bool same_region = own_region != NULL && region != NULL && strcmp(own_region, region) == 0;
+        allowed = same_region || forward_may_store_at(forward, region);
     }
-    return may;
+    return allowed;
 }
 
 void forward_turn_begin(struct forward *forward)
 {
-    if (forward->turn.keep && !forward_may_store(forward)) {
-        forward_refuse(forward, FORWARD_NO_STATE, "no place to keep it in the allowed regions");
+    if (forward->turn.persistent && !forward_may_store(forward)) {
+        forward_refuse(forward, FORWARD_UNAVAILABLE, "no place to keep it in the allowed regions");
         return;
     }
     if (forward->turn.parent == NULL || forward_turn_fetch(forward)) {
@@ -230,18 +231,18 @@
     }
 }
 
-/* ---- After it ran ---------------------------------------------------------------------------- */
+/* ---- After the turn ran ---------------------------------------------------------------------------- */
 
-static void forward_fill_finish(const struct forward *forward, bool keep, Entry *entry)
+static void forward_fill_turn_finish(const struct forward *forward, bool persist, Entry *entry)
 {
     entry->which_command = Entry_turn_finish_tag;
     TurnFinish *finish = &entry->command.turn_finish;
     finish->turn = forward->id;
     finish->program = forward->turn.program;
-    finish->used_tokens = forward->stream.event_count * forward_chunk_tokens(forward);
-    finish->server = forward->turn.ran_at;
-    finish->keep = keep;
-    if (keep) {
+    finish->used_tokens = forward->stream.event_count * forward_tokens_per_event(forward);
+    finish->server = forward->turn.served_by;
+    finish->keep = persist;
+    if (persist) {
         finish->parent = forward->turn.parent;
         finish->input = buffer_view(&forward->call->body);
         finish->output = buffer_view(&forward->turn.output);
@@ -253,19 +254,19 @@
 void forward_turn_settle(struct forward *forward)
 {
     struct forward_turn *turn = &forward->turn;
-    struct node *node = forward->front->node;
-    if (!turn->begun || turn->settled) {
+    struct node *node = forward->frontend->node;
+    if (!turn->reservation_sent || turn->settled) {
         return;
     }
     Entry entry = {0};
     turn->settled = true;
-    forward_fill_finish(forward, false, &entry);
-    node_post(node, &entry, node_now(node) + FORWARD_SETTLE_MS);
+    forward_fill_turn_finish(forward, false, &entry);
+    node_propose_background(node, &entry, node_now(node) + FORWARD_SETTLE_TIMEOUT_MS);
 }
 
-static void forward_remember_turn(struct forward *forward)
+static void forward_cache_turn(struct forward *forward)
 {
-    struct front *front = forward->front;
+    struct frontend *frontend = forward->frontend;
     struct turn_content content = {
         .id = forward->id,
         .parent = forward->turn.parent,
@@ -273,54 +274,54 @@
         .output = buffer_view(&forward->turn.output),
         .tenant = forward_tenant_hash(forward),
     };
-    turn_store_add(&front->cache, node_now(front->node), &content);
+    turn_store_add(&frontend->cache, node_now(frontend->node), &content);
 }
 
 static void forward_on_committed(void *context, ResultCode code, struct view body)
 {
     struct forward *forward = context;
     EntryResult result = {0};
-    forward->turn.reserving = NULL;
+    forward->turn.proposal = NULL;
     if (code == RESULT_OK && message_decode(body, EntryResult_fields, &result)) {
         code = result.code;
         message_free(EntryResult_fields, &result);
     }
-    histogram_note(&forward->front->commit, node_now(forward->front->node) - forward->turn.since_ms);
+    histogram_record(&forward->frontend->commit_time, node_now(forward->frontend->node) - forward->turn.proposed_ms);
     if (code == RESULT_OK) {
         forward->turn.settled = true;
-        forward_remember_turn(forward);
+        forward_cache_turn(forward);
         forward_complete(forward);
     } else {
-        forward_fail(forward, FORWARD_NO_STATE, "turn not stored");
+        forward_fail(forward, FORWARD_UNAVAILABLE, "turn not stored");
     }
 }
 
 void forward_turn_commit(struct forward *forward)
 {
     struct forward_turn *turn = &forward->turn;
-    struct node *node = forward->front->node;
-    if (!turn->keep) {
+    struct node *node = forward->frontend->node;
+    if (!turn->persistent) {
         forward_turn_settle(forward);
         forward_complete(forward);
         return;
     }
     Entry entry = {0};
     forward->phase = FORWARD_COMMITTING;
-    turn->since_ms = node_now(node);
-    forward_fill_finish(forward, true, &entry);
-    turn->reserving = node_propose(node, &entry, forward->limit_ms, forward_on_committed, forward);
+    turn->proposed_ms = node_now(node);
+    forward_fill_turn_finish(forward, true, &entry);
+    turn->proposal = node_propose(node, &entry, forward->deadline_ms, forward_on_committed, forward);
 }
 
 void forward_turn_close(struct forward *forward)
 {
     struct forward_turn *turn = &forward->turn;
-    node_forget(forward->front->node, turn->reserving);
-    node_forget(forward->front->node, turn->fetching);
+    node_ignore_reply(forward->frontend->node, turn->proposal);
+    node_ignore_reply(forward->frontend->node, turn->fetch);
     buffer_close(&turn->history);
     buffer_close(&turn->output);
     free(turn->program);
     free(turn->parent);
     free(turn->home);
-    free(turn->ran_at);
+    free(turn->served_by);
     memset(turn, 0, sizeof(*turn));
 }
