--- /dev/null
+++ b/src/proxy/frontend.c
@@ -0,0 +1,345 @@
+#include "proxy/frontend.h"
+
+#include <stdlib.h>
+#include <string.h>
+
+#include <xxhash.h>
+
+#include "base/event_log.h"
+#include "base/message.h"
+#include "core/presence.h"
+#include "proxy/forward.h"
+#include "proxy/frontend_memory.h"
+#include "proxy/node_metrics.h"
+#include "proxy/state_host.h"
+
+static void frontend_on_request(void *context, struct http_call *call)
+{
+    forward_start(context, call);
+}
+
+static void frontend_on_disconnected(void *context, struct http_call *call)
+{
+    (void)context;
+    if (call->owner != NULL) {
+        forward_caller_disconnected(call->owner);
+    }
+}
+
+static void frontend_on_drained(void *context, struct http_call *call)
+{
+    (void)context;
+    if (call->owner != NULL) {
+        forward_caller_drained(call->owner);
+    }
+}
+
+/* Idle connections to the address may lead to the old incarnation. */
+static void frontend_on_server_restarted(void *context, const struct server *server)
+{
+    struct frontend *frontend = context;
+    frontend->counters.server_restarts++;
+    event_log("server_reborn", "{s:s,s:s,s:s,s:i}", "server", server->id, "old_life", server->incarnation, "address",
+              server->address, "calls", (int)server->in_flight);
+    upstream_close_idle(&frontend->node->upstreams, server->address);
+}
+
+struct frontend *frontend_open(struct node *node)
+{
+    struct http_limits limits;
+    struct frontend *frontend = memory_new(sizeof(*frontend));
+    struct address address;
+    frontend_default_limits(&limits);
+    frontend->node = node;
+    frontend->jitter_state = node->boot_id;
+    node->upstreams.max_connections = FRONTEND_MAX_SERVER_CONNECTIONS;
+    frontend_init_probes(frontend);
+    frontend->servers.on_replaced = frontend_on_server_restarted;
+    frontend->servers.context = frontend;
+    frontend->servers.drained = &node->state.drained;
+    frontend->servers.zones = node->settings.zones.items;
+    frontend->servers.zone_count = node->settings.zones.count;
+    struct http_handler handler = {
+        .context = frontend,
+        .request = frontend_on_request,
+        .disconnected = frontend_on_disconnected,
+        .drained = frontend_on_drained,
+    };
+    int result = address_parse(node->settings.caller_address, &address)
+                     ? http_listener_start(&frontend->callers, &node->loop, &address, &handler, &limits)
+                     : -1;
+    if (result != 0) {
+        event_log("listen_failed", "{s:s,s:s}", "address", node->settings.caller_address, "error", uv_strerror(result));
+        free(frontend);
+        return NULL;
+    }
+    return frontend;
+}
+
+void frontend_close(struct frontend *frontend)
+{
+    http_listener_close(&frontend->callers);
+    frontend_configuration_close(frontend);
+    server_table_close(&frontend->servers);
+    turn_store_close(&frontend->cache);
+    quota_leases_close(&frontend->tenant_leases);
+    quota_leases_close(&frontend->start_leases);
+}
+
+void frontend_resume(struct frontend *frontend)
+{
+    if (frontend->waiting > 0 && frontend_is_configured(frontend)) {
+        forward_resume_waiting(frontend);
+    }
+}
+
+/* ---- Servers ------------------------------------------------------------------------- */
+
+void frontend_apply_server_list(struct frontend *frontend, struct view encoded)
+{
+    ServerList list = {0};
+    if (!message_decode(encoded, ServerList_fields, &list)) {
+        return;
+    }
+    server_table_update(&frontend->servers, &list);
+    frontend->servers_known = true;
+    frontend->servers_change = 0;
+    message_free(ServerList_fields, &list);
+    frontend_resume(frontend);
+}
+
+/* False: the changes since the last applied one are not known, and the whole list is needed. */
+static bool frontend_apply_server_changes(struct frontend *frontend)
+{
+    const server_list_t *servers = &frontend->node->state.servers;
+    server_list_changes_t changes;
+    ServerList changed = {0};
+    bool applied = server_list_changes_since(servers, frontend->servers_change, &changes) &&
+                   message_decode(buffer_view(&changes.records), ServerList_fields, &changed);
+    if (applied) {
+        server_table_apply_changes(&frontend->servers, changes.removed, changes.removed_count, &changed);
+        message_free(ServerList_fields, &changed);
+    }
+    server_list_changes_close(&changes);
+    return applied;
+}
+
+void frontend_apply_servers(struct frontend *frontend)
+{
+    server_list_t *servers = &frontend->node->state.servers;
+    if (!frontend_apply_server_changes(frontend)) {
+        frontend_apply_server_list(frontend, server_list_encoded(servers));
+    }
+    frontend->servers_change = servers->change;
+    event_log("servers_in_force", "{s:I,s:I,s:I}", "term", (json_int_t)frontend->node->state.servers_term, "number",
+              (json_int_t)frontend->node->state.servers_number, "servers",
+              (json_int_t)HASH_COUNT(frontend->servers.servers));
+}
+
+void frontend_apply_drained_zones(struct frontend *frontend)
+{
+    server_table_zones_changed(&frontend->servers, node_now(frontend->node));
+    node_log_drained(frontend->node, "zones_in_force");
+}
+
+/* ---- State ------------------------------------------------------------------------------ */
+
+bool frontend_is_configured(const struct frontend *frontend)
+{
+    return frontend->table != NULL && frontend->servers_known;
+}
+
+static bool frontend_is_withdrawn(const struct frontend *frontend)
+{
+    return node_now(frontend->node) < frontend->withdrawn_until_ms;
+}
+
+bool frontend_is_ready(const struct frontend *frontend)
+{
+    return frontend_is_configured(frontend) && !node_is_isolated(frontend->node) && !frontend_is_withdrawn(frontend);
+}
+
+bool frontend_is_busy(const struct frontend *frontend)
+{
+    return frontend->active > 0 || http_listener_active_count(&frontend->callers) > 0;
+}
+
+void frontend_drain(struct frontend *frontend)
+{
+    http_listener_drain(&frontend->callers);
+}
+
+void frontend_stop_accepting(struct frontend *frontend)
+{
+    http_listener_stop_accepting(&frontend->callers);
+}
+
+static uint64_t frontend_hash_name(const char *name)
+{
+    return XXH64(text_or_empty(name), strlen(text_or_empty(name)), 0);
+}
+
+/* The interval set by the leader, but at least LOAD_MIN_REPORT_MS, and at most PRESENCE_REPORT_MS: a gateway without
+ * reports counts as silent. An idle gateway reports every PRESENCE_REPORT_MS. */
+static uint32_t frontend_report_interval(const struct frontend *frontend)
+{
+    bool idle = frontend->active == 0 && !frontend->last_report_had_loads;
+    uint32_t interval_ms =
+        frontend->report_interval_ms > LOAD_MIN_REPORT_MS ? frontend->report_interval_ms : LOAD_MIN_REPORT_MS;
+    return idle || interval_ms > PRESENCE_REPORT_MS ? PRESENCE_REPORT_MS : interval_ms;
+}
+
+/* Reports the load to the leader; also serves as the heartbeat. */
+static void frontend_report_loads(struct frontend *frontend)
+{
+    struct node *node = frontend->node;
+    uint32_t leader = node->host != NULL ? state_host_leader(node->host) : node->watch.leader;
+    if (node_now(node) < frontend->loads_reported_ms + frontend_report_interval(frontend) || leader == RAFT_NO_NODE) {
+        return;
+    }
+    Frame frame = {0};
+    LoadReport *report = &frame.payload.load_report;
+    frame.which_payload = Frame_load_report_tag;
+    server_table_report_loads(&frontend->servers, node_now(node), report);
+    report->machine = frontend_hash_name(node->settings.name);
+    report->zone = frontend_hash_name(node->settings.zone);
+    report->leaving = node->draining;
+    frontend->loads_reported_ms = node_now(node);
+    frontend->last_report_had_loads = report->loads_count > 0;
+    node_send_frame(node, leader, &frame);
+    free(report->loads);
+}
+
+static void frontend_log_withdrawal(struct frontend *frontend, const LoadTotals *totals)
+{
+    bool withdrawn = frontend_is_withdrawn(frontend);
+    if (withdrawn == frontend->withdrawal_logged) {
+        return;
+    }
+    frontend->withdrawal_logged = withdrawn;
+    event_log(withdrawn ? "withdrawn" : "withdrawal_ends", "{s:I,s:I,s:I,s:I}", "zone_gateways",
+              (json_int_t)totals->own_zone.gateways, "zone_silent", (json_int_t)totals->own_zone.silent,
+              "other_gateways", (json_int_t)totals->other_zones.gateways, "other_silent",
+              (json_int_t)totals->other_zones.silent);
+}
+
+void frontend_apply_load_totals(struct frontend *frontend, const LoadTotals *totals)
+{
+    uint64_t now_ms = node_now(frontend->node);
+    frontend->report_interval_ms = totals->report_ms;
+    if (totals->loads_ms > 0) {
+        server_table_set_other_loads(&frontend->servers, now_ms, totals);
+    }
+    frontend->withdrawn_until_ms = presence_should_withdraw(totals) ? now_ms + FRONTEND_WITHDRAWAL_MS : 0;
+    frontend_log_withdrawal(frontend, totals);
+}
+
+static void frontend_log_failing(struct frontend *frontend, struct server *server)
+{
+    uint64_t now_ms = node_now(frontend->node);
+    uint32_t share = server_failure_share(&frontend->servers, server, now_ms);
+    bool failing = health_should_log_failing(server->logged_failing, share);
+    if (failing == server->logged_failing) {
+        return;
+    }
+    server->logged_failing = failing;
+    event_log(server->logged_failing ? "server_failing" : "server_sound", "{s:s,s:s,s:f,s:f}", "server", server->id,
+              "service", server->service, "own_share", (double)health_share(&server->health, now_ms) / HEALTH_ONE,
+              "share", (double)share / HEALTH_ONE);
+}
+
+/* Detects servers that do not respond, and logs state changes. */
+static void frontend_review_servers(struct frontend *frontend)
+{
+    for (struct forward *forward = frontend->forwards; forward != NULL; forward = forward->next) {
+        forward_report_unanswered(forward);
+    }
+    forward_end_idle_after_restart(frontend);
+    quota_leases_remove_idle(&frontend->start_leases, node_now(frontend->node));
+    server_table_apply_deferred(&frontend->servers, node_now(frontend->node));
+    for (struct server *server = frontend->servers.servers; server != NULL; server = server->hh.next) {
+        frontend_log_failing(frontend, server);
+        forward_log_starting(frontend, server);
+        frontend_probe_if_silent(frontend, server);
+    }
+}
+
+void frontend_before_wait(struct frontend *frontend)
+{
+    if (frontend->capacity_freed && frontend->queued > 0) {
+        frontend->capacity_freed = false;
+        forward_queue_serve(frontend);
+    }
+    if (frontend->tenant_leases.due) {
+        forward_quota_request(frontend);
+    }
+    forward_request_start_tokens(frontend);
+}
+
+void frontend_tick(struct frontend *frontend)
+{
+    frontend_confirm_configuration(frontend);
+    quota_leases_expire(&frontend->tenant_leases, node_now(frontend->node));
+    quota_leases_expire(&frontend->start_leases, node_now(frontend->node));
+    if (frontend->queued > 0) {
+        forward_queue_serve(frontend);
+    }
+    if (node_now(frontend->node) >= frontend->review_due_ms) {
+        frontend->review_due_ms = node_now(frontend->node) + FRONTEND_REVIEW_MS;
+        frontend_review_servers(frontend);
+        frontend_memory_review(frontend);
+    }
+    frontend_report_loads(frontend);
+    frontend_log_withdrawal(frontend, &(const LoadTotals){0});
+}
+
+void frontend_write_metrics(const struct frontend *frontend, struct buffer *out)
+{
+    const struct frontend_counters *counters = &frontend->counters;
+    const struct http_listener_counters *callers = &frontend->callers.counters;
+    metrics_write_counter(out, "connections_total", "Connections of callers.", callers->accepted);
+    metrics_write_counter(out, "malformed_requests_total", "Requests refused for their form.", callers->malformed);
+    metrics_write_counter(out, "connection_timeouts_total", "Connections closed for idleness.", callers->timeouts);
+    metrics_write_counter(out, "requests_total", "Requests that found a route.", counters->requests);
+    metrics_write_counter(out, "completed_total", "Answers passed on whole.", counters->completed);
+    metrics_write_counter(out, "refused_total", "Requests answered as not run.", counters->refused);
+    metrics_write_counter(out, "unknown_route_total", "Requests without a route.", counters->unknown_route);
+    metrics_write_counter(out, "failed_total", "Requests answered 502 or 504.", counters->failed);
+    metrics_write_counter(out, "cut_total", "Answers broken off.", counters->aborted);
+    metrics_write_counter(out, "gone_total", "Callers that left before the end.", counters->caller_disconnects);
+    metrics_write_counter(out, "sends_total", "Requests sent to servers.", counters->sends);
+    metrics_write_counter(out, "server_refusals_total", "Servers that did not run a request.",
+                          counters->server_refusals);
+    metrics_write_counter(out, "probes_total", "Connections opened to see whether a silent server can be reached.",
+                          counters->probes);
+    metrics_write_counter(out, "servers_reborn_total", "Servers that started again under their id.",
+                          counters->server_restarts);
+    metrics_write_counter(out, "queued_total", "Requests that waited for a place at a server.", counters->queued);
+    metrics_write_counter(out, "resumes_total", "Streams taken up after they broke off.", counters->resumes);
+    metrics_write_counter(out, "hedges_total", "Second servers asked for want of an answer.", counters->hedges);
+    metrics_write_counter(out, "pauses_total", "Streams held back for a slow caller.", counters->pauses);
+    metrics_write_counter(out, "crossed_total", "Answers to other requests, dropped.", counters->mismatched);
+    metrics_write_counter(out, "budget_refusals_total", "Turns refused for the budget.", counters->budget_refusals);
+    metrics_write_counter(out, "conversation_hits_total", "Conversations found near.", counters->cache_hits);
+    metrics_write_counter(out, "conversation_misses_total", "Conversations fetched.", counters->cache_misses);
+    metrics_write_counter(out, "key_refusals_total", "Requests refused for want of a known key.",
+                          counters->key_refusals);
+    metrics_write_counter(out, "quota_refusals_total", "Requests refused since their tenant is over its limit.",
+                          counters->quota_refusals);
+    metrics_write_counter(out, "quota_asks_total", "Asks of the leader for tokens of tenants.",
+                          frontend->quota_requests);
+    metrics_write_gauge(out, "requests_active", "Requests under way.", frontend->active);
+    metrics_write_gauge(out, "requests_waiting", "Requests that wait for configuration and servers after a start.",
+                        frontend->waiting);
+    metrics_write_gauge(out, "requests_queued", "Requests that wait for a place at a server.", frontend->queued);
+    metrics_write_gauge(out, "withdrawn", "Whether callers are left to other zones.",
+                        frontend_is_withdrawn(frontend) ? 1 : 0);
+    frontend_memory_write_metrics(frontend, out);
+    metrics_write_gauge(out, "zones_drained", "Zones whose servers get nothing new.",
+                        frontend->node->state.drained.count);
+    metrics_write_gauge(out, "servers_known", "Servers known.", HASH_COUNT(frontend->servers.servers));
+    histogram_write(&frontend->first_event_time, "first_event_seconds", "Time to the first event of a stream.", out);
+    histogram_write(&frontend->response_time, "answer_seconds", "Time to the end of an answer.", out);
+    histogram_write(&frontend->reserve_time, "turn_begin_seconds", "Time to reserve a turn's tokens.", out);
+    histogram_write(&frontend->commit_time, "turn_commit_seconds", "Time to store a turn.", out);
+}
--- /dev/null
+++ b/src/proxy/frontend.h
@@ -0,0 +1,161 @@
+/**
+ * @file frontend.h
+ * The gateway of a node: accepts callers' requests and forwards each to a
+ * server (forward.h).
+ */
+#ifndef BANKBANK_PROXY_FRONTEND_H
+#define BANKBANK_PROXY_FRONTEND_H
+
+#include "core/program_set.h"
+#include "core/quota_lease.h"
+#include "core/retry.h"
+#include "core/route_table.h"
+#include "core/server_table.h"
+#include "core/turn_store.h"
+#include "proxy/histogram.h"
+#include "proxy/node.h"
+
+enum {
+    FRONTEND_DEFAULT_CACHE_BYTES = 8 << 20, /**< Used if no memory budget is set. */
+    FRONTEND_MAX_SERVER_CONNECTIONS = 24,   /**< Limit for each server. */
+    FRONTEND_REVIEW_MS = 50,                /**< Interval of the server review and of the memory review. */
+    FRONTEND_WITHDRAWAL_MS = 1000 /**< Duration of a withdrawal after the last LoadTotals that called for it. */
+};
+
+struct frontend_counters {
+    uint64_t requests; /**< With a route, a request id and, where required, a known key. */
+    uint64_t completed;
+    uint64_t refused; /**< Requests refused as not run. */
+    uint64_t unknown_route;
+    uint64_t failed;             /**< Requests failed before their response began. */
+    uint64_t aborted;            /**< Responses aborted after they began. */
+    uint64_t caller_disconnects; /**< Before the response was complete. */
+    uint64_t sends;              /**< Attempts at servers. */
+    uint64_t server_refusals;    /**< Attempts refused as not run by the server. */
+    uint64_t mismatched;         /**< Responses dropped because they carry another request's id. */
+    uint64_t key_refusals;       /**< Requests without a known API key. */
+    uint64_t quota_refusals;     /**< Requests over the rate limit of their tenant. */
+    uint64_t budget_refusals;    /**< Turns over the token budget of their program. */
+    uint64_t pauses;             /**< Of reading a stream, for a slow caller. */
+    uint64_t server_restarts;    /**< Restarts of servers under the same id. */
+    uint64_t probes;             /**< Of silent servers. */
+    uint64_t queued;             /**< Requests queued; one may count again after its stream was resumed. */
+    uint64_t resumes;            /**< Of streams; a stream may be resumed several times. */
+    uint64_t hedges;
+    uint64_t cache_hits;   /**< Conversations found in frontend.cache. */
+    uint64_t cache_misses; /**< Conversations to fetch from a state replica. */
+    uint64_t memory_refusals;
+};
+
+struct forward;
+
+/** A gateway. Members that end in _ms are loop times, except report_interval_ms. */
+struct frontend {
+    struct node *node;
+    struct http_listener callers;
+    struct route_table *table;       /**< Active configuration, or NULL. */
+    bool confirmed;                  /**< The held version is known not to be outdated (frontend_configuration.c). */
+    struct node_request *confirming; /**< Request in flight, or NULL. */
+    uint64_t confirm_sent_ms;        /**< Of the last request. */
+    uint64_t confirm_due_ms;         /**< Earliest time of the next request. */
+    struct server_table servers;
+    bool servers_known;      /**< A server list was applied, maybe an empty one. */
+    uint64_t servers_change; /**< Last applied change of node->state.servers; 0: the applied list has another source. */
+    struct turn_store cache; /**< Recent turns. */
+    struct forward *forwards; /**< Active requests, newest first. */
+    uint32_t active;          /**< Length of that list. */
+    uint32_t waiting;         /**< Requests in FORWARD_WAITING. */
+    uint32_t queued;          /**< Requests in FORWARD_QUEUED. */
+    size_t requests_bytes;    /**< Includes requests that ended since the last exact sum (frontend_memory.h). */
+    bool memory_full;         /**< New requests are refused. */
+    bool capacity_freed; /**< Since the queue was last served, an attempt has ended or a start token has arrived. */
+    uint64_t loads_reported_ms;
+    uint32_t report_interval_ms; /**< Of load reports, set by the leader; 0: not yet. */
+    uint64_t review_due_ms;
+    bool last_report_had_loads;
+    uint64_t withdrawn_until_ms; /**< Not ready until then, so that other zones serve callers (presence.h). */
+    bool withdrawal_logged;
+    prefix_cost_t call_cost;      /**< Average cost of a request to a model server, in input tokens. */
+    quota_leases_t tenant_leases; /**< Rate limit tokens of tenants. */
+    quota_leases_t start_leases;  /**< Tokens for servers that have just started. */
+    bool start_request_pending;   /**< For start tokens. */
+    uint64_t start_requested_ms;  /**< Of the last request. */
+    program_set_t programs;       /**< Recently seen, of tenants with a rate limit. */
+    uint64_t quota_requests;      /**< Sent so far; also the number of the last one. */
+    uint64_t jitter_state;        /**< Random generator for the jitter of Retry-After. */
+    struct retry_budget retries;  /**< Limits hedged attempts. */
+    struct frontend_counters counters;
+    struct histogram first_event_time; /**< Since the request was received, for streams. */
+    struct histogram response_time;    /**< Since the request was received, to the end of the response. */
+    struct histogram reserve_time;     /**< Of a turn's reservation. */
+    struct histogram commit_time;      /**< Of storing a turn. */
+};
+
+/** NULL: listening failed. */
+struct frontend *frontend_open(struct node *node);
+
+/** Ends all requests and frees the members; the caller frees `frontend` itself once the loop has closed its handles. */
+void frontend_close(struct frontend *frontend);
+
+/** frontend_configuration.c: activates the configuration in node->state if it is newer and confirmed. */
+void frontend_apply_configuration(struct frontend *frontend);
+
+/** frontend_configuration.c: asks the leader to confirm the first configuration, if that is due. */
+void frontend_confirm_configuration(struct frontend *frontend);
+
+/** frontend_configuration.c: limits until a configuration is active. */
+void frontend_default_limits(struct http_limits *limits);
+
+/** frontend_configuration.c. */
+void frontend_configuration_close(struct frontend *frontend);
+
+/** Routes the requests in FORWARD_WAITING if the configuration and the servers are known. */
+void frontend_resume(struct frontend *frontend);
+
+/** Applies node->state.servers. */
+void frontend_apply_servers(struct frontend *frontend);
+
+/** Applies node->state.drained. */
+void frontend_apply_drained_zones(struct frontend *frontend);
+
+/** Applies an encoded ServerList; no effect if it is malformed. */
+void frontend_apply_server_list(struct frontend *frontend, struct view encoded);
+
+/** `totals`, from the leader: load of the other gateways, and how many are silent. */
+void frontend_apply_load_totals(struct frontend *frontend, const LoadTotals *totals);
+
+/** Whether it has a configuration and a server list. */
+bool frontend_is_configured(const struct frontend *frontend);
+
+/** Whether it is configured, and neither isolated from the state replicas nor withdrawn. */
+bool frontend_is_ready(const struct frontend *frontend);
+
+/** Whether requests are active or connections are busy. */
+bool frontend_is_busy(const struct frontend *frontend);
+
+/** From now on responses close their connections. */
+void frontend_drain(struct frontend *frontend);
+
+/** Call after frontend_drain(). */
+void frontend_stop_accepting(struct frontend *frontend);
+
+void frontend_tick(struct frontend *frontend);
+
+/** Called before each wait of the loop: serves the queue if capacity was freed, and sends due token requests. */
+void frontend_before_wait(struct frontend *frontend);
+
+/** frontend_reach.c: registers the callback for probe results. */
+void frontend_init_probes(struct frontend *frontend);
+
+/** frontend_reach.c: bytes were received from a server. */
+void frontend_record_received(struct frontend *frontend, struct server *server);
+
+/** frontend_reach.c: the kernel of the server's machine does not respond on an open connection. */
+void frontend_record_unresponsive(struct frontend *frontend, struct server *server);
+
+/** frontend_reach.c: probes a server that has been silent for too long. */
+void frontend_probe_if_silent(struct frontend *frontend, struct server *server);
+
+void frontend_write_metrics(const struct frontend *frontend, struct buffer *out);
+
+#endif
--- /dev/null
+++ b/src/proxy/frontend_memory.c
@@ -0,0 +1,77 @@
+#include "proxy/frontend_memory.h"
+
+#include "base/event_log.h"
+#include "proxy/forward.h"
+#include "proxy/node_metrics.h"
+
+/* Body and conversation count twice: they are copied when they are sent to a server. */
+static size_t frontend_request_bytes(const struct forward *forward)
+{
+    size_t prompt_bytes = forward->call->body.length + forward->turn.history.length;
+    size_t response_bytes = forward->turn.output.length;
+    for (int i = 0; i < FORWARD_MAX_PARALLEL; i++) {
+        response_bytes += forward->attempts[i].header_lines.length + forward->attempts[i].body.length;
+    }
+    return sizeof(*forward) + 2 * prompt_bytes + response_bytes;
+}
+
+static size_t frontend_cache_limit(const struct frontend *frontend)
+{
+    size_t share = frontend->node->memory.cache;
+    return share == 0 ? FRONTEND_DEFAULT_CACHE_BYTES : share;
+}
+
+static void frontend_log_memory_full(struct frontend *frontend, bool full)
+{
+    if (full == frontend->memory_full) {
+        return;
+    }
+    frontend->memory_full = full;
+    event_log(full ? "memory_full" : "memory_regained", "{s:s,s:I,s:I,s:I}", "holder", "requests", "held_bytes",
+              (json_int_t)frontend->requests_bytes, "share_bytes", (json_int_t)frontend->node->memory.requests,
+              "refused", (json_int_t)frontend->counters.memory_refusals);
+}
+
+static void frontend_sum_request_bytes(struct frontend *frontend)
+{
+    frontend->requests_bytes = http_listener_unsent_bytes(&frontend->callers); /* unsent data outlives its request */
+    for (const struct forward *forward = frontend->forwards; forward != NULL; forward = forward->next) {
+        frontend->requests_bytes += frontend_request_bytes(forward);
+    }
+}
+
+void frontend_memory_review(struct frontend *frontend)
+{
+    size_t share = frontend->node->memory.requests;
+    frontend_sum_request_bytes(frontend);
+    /* Hysteresis: full until a quarter of the share is free again. */
+    if (frontend->memory_full && frontend->requests_bytes < share - share / 4) {
+        frontend_log_memory_full(frontend, false);
+    }
+    turn_store_shrink(&frontend->cache, frontend_cache_limit(frontend));
+}
+
+bool frontend_memory_admit(struct frontend *frontend, const struct forward *forward)
+{
+    size_t share = frontend->node->memory.requests;
+    frontend->requests_bytes += frontend_request_bytes(forward);
+    if (share > 0 && frontend->requests_bytes > share && !frontend->memory_full) {
+        frontend_sum_request_bytes(frontend); /* ended requests were still counted */
+        frontend_log_memory_full(frontend, frontend->requests_bytes > share);
+    }
+    frontend->counters.memory_refusals += frontend->memory_full ? 1 : 0;
+    return !frontend->memory_full;
+}
+
+void frontend_memory_write_metrics(const struct frontend *frontend, struct buffer *out)
+{
+    metrics_write_gauge(out, "requests_bytes", "Memory of requests under way.", frontend->requests_bytes);
+    metrics_write_gauge(out, "requests_share_bytes", "Most of it, 0: no bound.", frontend->node->memory.requests);
+    metrics_write_gauge(out, "cache_bytes", "Memory of cached turns.",
+                        frontend->cache.bytes + frontend->cache.index_bytes);
+    metrics_write_gauge(out, "cache_share_bytes", "Most of it.", frontend_cache_limit(frontend));
+    metrics_write_counter(out, "memory_refusals_total", "Requests refused for want of memory.",
+                          frontend->counters.memory_refusals);
+    metrics_write_counter(out, "bodies_refused_total", "Requests whose body there was no memory to read.",
+                          frontend->callers.counters.over_memory_limit);
+}
--- /dev/null
+++ b/src/proxy/frontend_reach.c
@@ -0,0 +1,77 @@
+/* Probes silent servers to detect unreachable ones (core/reach.h). */
+#include <string.h>
+
+#include "base/event_log.h"
+#include "proxy/forward.h"
+
+static void frontend_log_reach(const struct frontend *frontend, const struct server *server, const char *event)
+{
+    event_log(event, "{s:s,s:s,s:i,s:I}", "server", server->id, "address", server->address, "calls",
+              (int)server->in_flight, "silent_ms", (json_int_t)(node_now(frontend->node) - server->last_activity_ms));
+}
+
+static void frontend_handle_reach_change(struct frontend *frontend, struct server *server, reach_change_t change)
+{
+    switch (change) {
+    case REACH_UNCHANGED: break;
+    case REACH_UNREACHABLE: frontend_log_reach(frontend, server, "server_lost"); break;
+    case REACH_CONFIRMED_UNREACHABLE: frontend_log_reach(frontend, server, "server_cut_off"); break;
+    case REACH_DEAD: frontend_log_reach(frontend, server, "server_gone"); break;
+    case REACH_RECOVERED:
+        server->returned_ms = node_now(frontend->node); /* it may have restarted in the meantime */
+        frontend_log_reach(frontend, server, "server_regained");
+        break;
+    }
+    if (change == REACH_UNREACHABLE || change == REACH_CONFIRMED_UNREACHABLE || change == REACH_DEAD) {
+        forward_server_unreachable(frontend, server);
+    }
+}
+
+/* Logs before it updates last_activity_ms, since the log line has the time of silence. */
+void frontend_record_received(struct frontend *frontend, struct server *server)
+{
+    frontend_handle_reach_change(frontend, server, reach_record_received(&server->reach));
+    server_record_received(server, node_now(frontend->node));
+}
+
+void frontend_probe_if_silent(struct frontend *frontend, struct server *server)
+{
+    struct address address;
+    bool due =
+        reach_probe_is_due(&server->reach, node_now(frontend->node), server->in_flight > 0, server->last_activity_ms);
+    if (due && server->listed && address_parse(server->address, &address)) {
+        reach_record_probe_start(&server->reach);
+        frontend->counters.probes++;
+        upstream_probe(&frontend->node->upstreams, &address);
+    }
+}
+
+void frontend_record_unresponsive(struct frontend *frontend, struct server *server)
+{
+    if (!node_recently_stalled(frontend->node)) {
+        frontend_handle_reach_change(frontend, server, reach_record_peer_silent(&server->reach));
+    }
+}
+
+static void frontend_on_probed(void *context, const char *address, bool answered)
+{
+    struct frontend *frontend = context;
+    uint64_t now_ms = node_now(frontend->node);
+    bool reachable = answered || node_recently_stalled(frontend->node);
+    struct server *server = frontend->servers.servers;
+    while (server != NULL) {
+        struct server *next = server->hh.next; /* an unlisted server is freed when its last request ends */
+        if (server->reach.probing && strcmp(server->address, address) == 0) {
+            reach_change_t change = reach_record_outcome(&server->reach, now_ms, reachable);
+            frontend_probe_if_silent(frontend, server); /* not at the next review: a stream may wait for the result */
+            frontend_handle_reach_change(frontend, server, change);
+        }
+        server = next;
+    }
+}
+
+void frontend_init_probes(struct frontend *frontend)
+{
+    frontend->node->upstreams.probed = frontend_on_probed;
+    frontend->node->upstreams.probed_context = frontend;
+}
--- a/src/proxy/histogram.c
+++ b/src/proxy/histogram.c
@@ -4,7 +4,7 @@
 
 enum { HISTOGRAM_MS_PER_S = 1000 };
 
-void histogram_note(struct histogram *histogram, uint64_t value_ms)
+void histogram_record(struct histogram *histogram, uint64_t value_ms)
 {
     int bucket = 0;
     while (bucket < HISTOGRAM_BOUNDS && value_ms > histogram_bounds_ms[bucket]) {
--- a/src/proxy/histogram.h
+++ b/src/proxy/histogram.h
@@ -9,18 +9,17 @@
 
 #include "base/buffer.h"
 
-enum { HISTOGRAM_BOUNDS = 12 /**< Finite upper bounds. */ };
+enum { HISTOGRAM_BOUNDS = 12 /**< Number of finite upper bounds. */ };
 
-/** Counts of values, in ms, up to each bound and beyond the last one. */
+/** The last bucket counts the values above all bounds. */
 struct histogram {
-    uint64_t counts[HISTOGRAM_BOUNDS + 1]; /**< Values in each bucket. */
-    uint64_t sum_ms;                       /**< Sum of all values. */
+    uint64_t counts[HISTOGRAM_BOUNDS + 1];
+    uint64_t sum_ms;
 };
 
-/** Counts a value. */
-void histogram_note(struct histogram *histogram, uint64_t value_ms);
+void histogram_record(struct histogram *histogram, uint64_t value_ms);
 
-/** Writes it under `name`, in seconds. */
+/** Writes the histogram as bankbank_`name`, in seconds. */
 void histogram_write(const struct histogram *histogram, const char *name, const char *help, struct buffer *out);
 
 #endif
--- a/src/proxy/machine_reader.c
+++ b/src/proxy/machine_reader.c
@@ -8,42 +8,42 @@
 
 enum { MACHINE_READER_OK = 200 };
 
-static void machine_reader_ask(struct machine_reader *reader);
+static void machine_reader_request_page(struct machine_reader *reader);
 
 static void machine_reader_reset(struct machine_reader *reader)
 {
     message_free(ServerList_fields, &reader->list);
     memset(&reader->list, 0, sizeof(reader->list));
-    memset(&reader->left, 0, sizeof(reader->left));
-    buffer_clear(&reader->page);
+    memset(&reader->skipped, 0, sizeof(reader->skipped));
+    buffer_clear(&reader->page_token);
     buffer_clear(&reader->body);
-    reader->agains = 0;
+    reader->retries = 0;
 }
 
-/* What is left out, where that differs from the reading before. */
-static void machine_tell_left(struct machine_reader *reader)
+/* Logs the counts of skipped entries if they changed since the previous complete fetch. */
+static void machine_log_skipped(struct machine_reader *reader)
 {
-    const uint32_t *counts = reader->left.counts;
-    reader->left_out += server_entries_sum(&reader->left);
-    if (memcmp(&reader->left, &reader->told, sizeof(reader->left)) == 0) {
+    const uint32_t *counts = reader->skipped.counts;
+    reader->skipped_total += server_entries_skipped_total(&reader->skipped);
+    if (memcmp(&reader->skipped, &reader->logged_skipped, sizeof(reader->skipped)) == 0) {
         return;
     }
-    reader->told = reader->left;
+    reader->logged_skipped = reader->skipped;
     event_log("servers_left_out", "{s:i,s:i,s:i,s:i,s:i,s:i}", server_entry_fault_name(SERVER_ENTRY_UNREADABLE),
               (int)counts[SERVER_ENTRY_UNREADABLE], server_entry_fault_name(SERVER_ENTRY_MISSING),
               (int)counts[SERVER_ENTRY_MISSING], server_entry_fault_name(SERVER_ENTRY_TYPE),
               (int)counts[SERVER_ENTRY_TYPE], server_entry_fault_name(SERVER_ENTRY_VALUE),
               (int)counts[SERVER_ENTRY_VALUE], server_entry_fault_name(SERVER_ENTRY_STATE),
-              (int)counts[SERVER_ENTRY_STATE], server_entry_fault_name(SERVER_ENTRY_TWICE),
-              (int)counts[SERVER_ENTRY_TWICE]);
+              (int)counts[SERVER_ENTRY_STATE], server_entry_fault_name(SERVER_ENTRY_DUPLICATE),
+              (int)counts[SERVER_ENTRY_DUPLICATE]);
 }
 
 static void machine_reader_finish(struct machine_reader *reader)
 {
     struct buffer encoded = {0};
-    server_entries_settle(&reader->list, &reader->left);
-    machine_tell_left(reader);
-    reader->read_ms = uv_now(reader->pool->loop);
+    server_entries_deduplicate(&reader->list, &reader->skipped);
+    machine_log_skipped(reader);
+    reader->last_read_ms = uv_now(reader->pool->loop);
     if (message_encode(&encoded, ServerList_fields, &reader->list)) {
         reader->done(reader->context, buffer_view(&encoded));
     }
@@ -51,65 +51,66 @@
     machine_reader_reset(reader);
 }
 
-static void machine_on_head(void *owner, const struct http_reader *answer)
+static void machine_on_head(void *owner, const struct http_reader *response)
 {
     struct machine_reader *reader = owner;
-    reader->status = answer->status;
+    reader->status = response->status;
 }
 
-static void machine_on_body(void *owner, struct view part)
+static void machine_on_body(void *owner, struct view chunk)
 {
     struct machine_reader *reader = owner;
-    buffer_append(&reader->body, part.data, part.length);
+    buffer_append(&reader->body, chunk.data, chunk.length);
 }
 
-/* Nothing is lost where it is the first page. */
+/* After a failed first page the next request is a new fetch, not a retry: there are no pages to keep. */
 static void machine_page_failed(struct machine_reader *reader)
 {
     reader->failures++;
-    if (reader->page.length > 0 && reader->agains < MACHINE_READER_AGAIN_MOST) {
-        reader->agains++;
+    if (reader->page_token.length > 0 && reader->retries < MACHINE_READER_MAX_RETRIES) {
+        reader->retries++;
     } else {
         machine_reader_reset(reader);
     }
 }
 
-/* Takes a whole page or nothing of it. */
-static bool machine_take_page(struct machine_reader *reader, struct buffer *next_page)
+/* False: the page is invalid, and nothing is appended. */
+static bool machine_append_page(struct machine_reader *reader, struct buffer *next_page)
 {
     ServerList *list = &reader->list;
     ServerList page = {0};
-    server_entries_left_t left = reader->left;
-    bool good = reader->dialect->read_servers(buffer_view(&reader->body), &page, &left, next_page) &&
-                (size_t)list->servers_count + page.servers_count <= PB_SIZE_MAX;
-    if (!good) {
+    server_entries_skipped_t skipped = reader->skipped;
+    bool valid = reader->dialect->read_servers(buffer_view(&reader->body), &page, &skipped, next_page) &&
+                 (size_t)list->servers_count + page.servers_count <= PB_SIZE_MAX;
+    if (!valid) {
         message_free(ServerList_fields, &page);
         return false;
     }
     size_t count = (size_t)list->servers_count + page.servers_count;
-    reader->left = left;
+    reader->skipped = skipped;
     if (page.servers_count > 0) {
         list->servers = memory_resize(list->servers, count * sizeof(*list->servers));
         memcpy(list->servers + list->servers_count, page.servers, page.servers_count * sizeof(*page.servers));
         list->servers_count = (pb_size_t)count;
     }
-    free(page.servers); /* its records are the list's now */
+    free(page.servers); /* the records are now owned by the list */
     return true;
 }
 
-static void machine_on_end(void *owner, enum upstream_end end)
+static void machine_on_end(void *owner, enum upstream_result result)
 {
     struct machine_reader *reader = owner;
     struct buffer next_page = {0};
     reader->call = NULL;
-    bool good = end == UPSTREAM_DONE && reader->status == MACHINE_READER_OK && machine_take_page(reader, &next_page);
-    if (!good) {
+    bool valid =
+        result == UPSTREAM_DONE && reader->status == MACHINE_READER_OK && machine_append_page(reader, &next_page);
+    if (!valid) {
         machine_page_failed(reader);
     } else if (next_page.length > 0) {
-        buffer_close(&reader->page);
-        reader->page = next_page;
+        buffer_close(&reader->page_token);
+        reader->page_token = next_page;
         memset(&next_page, 0, sizeof(next_page));
-        machine_reader_ask(reader);
+        machine_reader_request_page(reader);
     } else {
         machine_reader_finish(reader);
     }
@@ -120,7 +121,7 @@
 {
     struct machine_reader *reader = owner;
     buffer_append_text(request, "GET ");
-    reader->dialect->write_servers_target(buffer_text(&reader->page), request);
+    reader->dialect->write_servers_target(buffer_text(&reader->page_token), request);
     buffer_printf(request, " HTTP/1.1\r\nHost: %s:%u\r\n\r\n", reader->address.ip, reader->address.port);
     return true;
 }
@@ -128,7 +129,7 @@
 static const struct upstream_events machine_events = {machine_on_write, machine_on_head, machine_on_body,
                                                       machine_on_end};
 
-static void machine_reader_ask(struct machine_reader *reader)
+static void machine_reader_request_page(struct machine_reader *reader)
 {
     buffer_clear(&reader->body);
     reader->status = 0;
@@ -138,22 +139,22 @@
 
 void machine_reader_tick(struct machine_reader *reader, uint64_t now_ms, bool wanted)
 {
-    bool late = reader->call != NULL && now_ms >= reader->begun_ms + MACHINE_READER_LIMIT_MS;
-    if (late) {
+    bool timed_out = reader->call != NULL && now_ms >= reader->started_ms + MACHINE_READER_TIMEOUT_MS;
+    if (timed_out) {
         upstream_cancel(reader->pool, reader->call);
         reader->call = NULL;
         machine_page_failed(reader);
     }
     if (reader->call == NULL && !wanted) {
-        machine_reader_reset(reader); /* pages of a reading that nobody waits for grow old */
+        machine_reader_reset(reader); /* pages kept for a retry would become outdated */
     }
     if (reader->call == NULL && wanted && now_ms >= reader->due_ms) {
         reader->due_ms = now_ms + reader->period_ms;
-        reader->begun_ms = now_ms;
-        if (reader->agains == 0) {
+        reader->started_ms = now_ms;
+        if (reader->retries == 0) {
             machine_reader_reset(reader);
         }
-        machine_reader_ask(reader);
+        machine_reader_request_page(reader);
     }
 }
 
@@ -163,6 +164,6 @@
         upstream_cancel(reader->pool, reader->call);
     }
     message_free(ServerList_fields, &reader->list);
-    buffer_close(&reader->page);
+    buffer_close(&reader->page_token);
     buffer_close(&reader->body);
 }
--- a/src/proxy/node.c
+++ b/src/proxy/node.c
@@ -1,4 +1,4 @@
-/* The daemon: event loop, settings, readiness, start and stop. */
+/* Site daemon: event loop, settings, readiness, start and stop. */
 #include "proxy/node.h"
 
 #include <signal.h>
@@ -11,7 +11,7 @@
 #include "base/clock.h"
 #include "base/event_log.h"
 #include "base/log.h"
-#include "proxy/front.h"
+#include "proxy/frontend.h"
 #include "proxy/node_internal.h"
 #include "proxy/node_metrics.h"
 #include "proxy/state_host.h"
@@ -19,10 +19,10 @@
 enum {
     NODE_EXIT_SETTINGS = 2,
     NODE_SETTINGS_CHECK_MS = 1000,
-    NODE_LEAVE_MS = 2200, /* time after which the platform sends no new connections */
+    NODE_DRAIN_ACCEPT_MS = 2200, /* since the stop began; until then the platform may open connections */
     NODE_STOP_MARGIN_MS = 400,
-    NODE_MAX_HEAD = 16 << 10,
-    NODE_MAX_BODY = 1 << 16,
+    NODE_MAX_HEAD_BYTES = 16 << 10,
+    NODE_MAX_BODY_BYTES = 1 << 16,
     NODE_IDLE_MS = 30000,
     NODE_OK = 200,
     NODE_NOT_READY = 503
@@ -35,16 +35,16 @@
 
 uint64_t node_real_now(void)
 {
-    return clock_monotonic_ms(); /* libuv's clock too */
+    return clock_monotonic_ms(); /* libuv uses this clock */
 }
 
-/* ---- Time ------------------------------------------------------------------------------------- */
+/* ---- Periodic work ---------------------------------------------------------------------------- */
 
-static void node_report_freshness(struct node *node)
+static void node_log_freshness(struct node *node)
 {
     bool fresh = node_is_fresh(node);
-    if (fresh != node->fresh_told) {
-        node->fresh_told = fresh;
+    if (fresh != node->logged_fresh) {
+        node->logged_fresh = fresh;
         event_log(fresh ? "state_regained" : "state_lost", "{s:I,s:I,s:I}", "document_version",
                   (json_int_t)node->state.document_version, "servers_number", (json_int_t)node->state.servers_number,
                   "leader", (json_int_t)node->watch.leader);
@@ -62,26 +62,26 @@
     return differ;
 }
 
-/* The settings may change with no signal; only the seeds are taken anew. */
-static void node_reload(struct node *node, bool asked)
+/* Applies changed seeds; other settings need a restart. `by_signal` is false for the periodic check. */
+static void node_reload_settings(struct node *node, bool by_signal)
 {
-    struct node_settings fresh;
+    struct node_settings loaded;
     struct findings findings = {0};
-    node_settings_load(&fresh, node->settings_path, &findings);
+    node_settings_load(&loaded, node->settings_path, &findings);
     bool valid = findings.count == 0;
-    bool changed = valid && node_seeds_differ(&node->settings.seeds, &fresh.seeds);
+    bool changed = valid && node_seeds_differ(&node->settings.seeds, &loaded.seeds);
     if (changed) {
         struct yaml_list seeds = node->settings.seeds;
-        node->settings.seeds = fresh.seeds;
-        fresh.seeds = seeds;
+        node->settings.seeds = loaded.seeds;
+        loaded.seeds = seeds;
         node_dial(node);
     }
-    if (asked || changed || !valid) {
-        event_log("reload", "{s:b,s:b,s:b,s:I}", "asked", asked, "valid", valid, "changed", changed, "seeds",
+    if (by_signal || changed || !valid) {
+        event_log("reload", "{s:b,s:b,s:b,s:I}", "asked", by_signal, "valid", valid, "changed", changed, "seeds",
                   (json_int_t)node->settings.seeds.count);
     }
     findings_close(&findings);
-    node_settings_close(&fresh);
+    node_settings_close(&loaded);
 }
 
 static void node_check_settings(struct node *node)
@@ -92,78 +92,79 @@
     bool due = !node_is_fresh(node) && node_now(node) >= node->settings_checked_ms + NODE_SETTINGS_CHECK_MS;
     if (due) {
         node->settings_checked_ms = node_now(node);
-        node_reload(node, false);
+        node_reload_settings(node, false);
     }
 }
 
-/* Whether the state replicas are still to learn what a gateway's last turns used. */
-static bool node_is_settling(const struct node *node)
+/* Whether the gateway waits for state replicas, for example to record the token usage of its last turns. */
+static bool node_has_pending_requests(const struct node *node)
 {
-    return node->front != NULL && node->client.requests != NULL;
+    return node->frontend != NULL && node->client.requests != NULL;
 }
 
-/* A gateway stops when its requests have ended and are settled, and the platform sends no new ones. */
+/* Stops the daemon once leadership is transferred, the platform sends no new requests and all requests have completed;
+ * at the latest NODE_STOP_MARGIN_MS before the grace period ends. */
 static void node_drain(struct node *node)
 {
-    uint64_t since_ms = node_now(node) - node->drain_since_ms;
-    bool late = since_ms + NODE_STOP_MARGIN_MS >= node->settings.grace_ms;
-    bool handing_over = node->host != NULL && state_host_hand_over(node->host);
-    if (node->front != NULL && since_ms >= NODE_LEAVE_MS) {
-        front_stop_accepting(node->front); /* before the look at what is under way: nothing may come behind it */
+    uint64_t elapsed_ms = node_now(node) - node->drain_started_ms;
+    bool expired = elapsed_ms + NODE_STOP_MARGIN_MS >= node->settings.grace_ms;
+    bool transferring = node->host != NULL && state_host_transfer_leadership(node->host);
+    if (node->frontend != NULL && elapsed_ms >= NODE_DRAIN_ACCEPT_MS) {
+        frontend_stop_accepting(node->frontend); /* before frontend_is_busy(): no request may arrive after that check */
     }
-    bool serving = node->front != NULL && (since_ms < NODE_LEAVE_MS || front_is_busy(node->front));
-    if (late || (!handing_over && !serving && !node_is_settling(node))) {
+    bool serving = node->frontend != NULL && (elapsed_ms < NODE_DRAIN_ACCEPT_MS || frontend_is_busy(node->frontend));
+    if (expired || (!transferring && !serving && !node_has_pending_requests(node))) {
         node_stop(node);
     }
 }
 
-/* A process that was frozen or starved sees it only in its clock, once it runs again. */
-static void node_report_stall(struct node *node)
+/* A late tick means that the process was stopped, starved of CPU or blocked on the disk. */
+static void node_detect_stall(struct node *node)
 {
-    uint64_t gap_ms = node_now(node) - node->ticked_ms;
+    uint64_t gap_ms = node_now(node) - node->last_tick_ms;
     uint64_t disk_wait_ms = node->host == NULL ? 0 : node->host->disk_wait_ms;
-    if (node->ticked_ms != 0 && gap_ms >= NODE_STALL_MS) {
+    if (node->last_tick_ms != 0 && gap_ms >= NODE_STALL_MS) {
         event_log("stalled", "{s:I,s:I}", "gap_ms", (json_int_t)gap_ms, "disk_ms",
-                  (json_int_t)(disk_wait_ms - node->ticked_disk_ms));
-        node->woke_ms = node_now(node);
+                  (json_int_t)(disk_wait_ms - node->last_tick_disk_wait_ms));
+        node->stall_end_ms = node_now(node);
     }
-    node->ticked_ms = node_now(node);
-    node->ticked_disk_ms = disk_wait_ms;
+    node->last_tick_ms = node_now(node);
+    node->last_tick_disk_wait_ms = disk_wait_ms;
 }
 
 static void node_on_tick(uv_timer_t *timer)
 {
     struct node *node = timer->data;
-    event_log_time(node_now(node), clock_wall_ms());
-    node_report_stall(node);
-    links_round(&node->links, node_now(node));
+    event_log_set_time(node_now(node), clock_wall_ms());
+    node_detect_stall(node);
+    links_tick(&node->links, node_now(node));
     control_client_tick(&node->client, node_now(node));
     if (node->host != NULL) {
         state_host_tick(node->host);
     }
     node_watch(node);
-    node_read_machines(node);
-    node_report_freshness(node);
-    node_work_tell(node);
+    node_fetch_machines(node);
+    node_log_freshness(node);
+    node_work_log(node);
     node_check_settings(node);
-    if (node->front != NULL) {
-        front_tick(node->front);
+    if (node->frontend != NULL) {
+        frontend_tick(node->frontend);
     }
     if (node->draining) {
         node_drain(node);
     }
 }
 
-static void node_on_settle(uv_prepare_t *prepare)
+static void node_on_prepare(uv_prepare_t *prepare)
 {
     struct node *node = prepare->data;
     do {
-        node_handle_local(node);
+        node_dispatch_local_frames(node);
         if (node->host != NULL) {
-            state_host_settle(node->host);
+            state_host_before_wait(node->host);
         }
-        if (node->front != NULL) {
-            front_settle(node->front);
+        if (node->frontend != NULL) {
+            frontend_before_wait(node->frontend);
         }
     } while (node->local_first != NULL);
     links_flush(&node->links);
@@ -177,17 +178,17 @@
         return;
     }
     node->draining = true;
-    node->drain_since_ms = node_now(node);
+    node->drain_started_ms = node_now(node);
     event_log("stop_begins", "{s:i}", "signal", number);
-    if (node->front != NULL) {
-        front_drain(node->front);
+    if (node->frontend != NULL) {
+        frontend_drain(node->frontend);
     }
 }
 
 static void node_on_reload(uv_signal_t *signal, int number)
 {
     (void)number;
-    node_reload(signal->data, true);
+    node_reload_settings(signal->data, true);
 }
 
 void node_stop(struct node *node)
@@ -202,8 +203,8 @@
     if (node->draining) {
         return false;
     }
-    if (node->front != NULL) {
-        return front_is_ready(node->front);
+    if (node->frontend != NULL) {
+        return frontend_is_ready(node->frontend);
     }
     return node->host != NULL && node->host->running && node_is_fresh(node);
 }
@@ -216,18 +217,18 @@
                  memcmp(target.data, node->dialect->ready_path, target.length) == 0;
     bool ready = node_is_ready(node);
     int status = !known ? 404 : ready ? NODE_OK : NODE_NOT_READY;
-    http_call_reply(call, status, NULL, "text/plain", view_of_string(ready ? "ready\n" : "not ready\n"));
+    http_call_send_response(call, status, NULL, "text/plain", view_of_string(ready ? "ready\n" : "not ready\n"));
 }
 
 static void node_on_metrics_request(void *context, struct http_call *call)
 {
     struct buffer text = {0};
     node_write_metrics(context, &text);
-    http_call_reply(call, NODE_OK, NULL, "text/plain; version=0.0.4", buffer_view(&text));
+    http_call_send_response(call, NODE_OK, NULL, "text/plain; version=0.0.4", buffer_view(&text));
     buffer_close(&text);
 }
 
-static void node_on_gone(void *context, struct http_call *call)
+static void node_on_disconnect(void *context, struct http_call *call)
 {
     (void)context;
     (void)call;
@@ -236,12 +237,12 @@
 static bool node_listen(struct node *node, struct http_listener *listener, const char *text,
                         void (*request)(void *, struct http_call *))
 {
-    static const struct http_limits limits = {NODE_MAX_HEAD, NODE_MAX_BODY, NODE_IDLE_MS, NODE_IDLE_MS, 0};
+    static const struct http_limits limits = {NODE_MAX_HEAD_BYTES, NODE_MAX_BODY_BYTES, NODE_IDLE_MS, NODE_IDLE_MS, 0};
     struct address address;
     if (text_or_empty(text)[0] == '\0') {
         return true;
     }
-    struct http_handler handler = {.context = node, .request = request, .gone = node_on_gone};
+    struct http_handler handler = {.context = node, .request = request, .disconnected = node_on_disconnect};
     int result =
         address_parse(text, &address) ? http_listener_start(listener, &node->loop, &address, &handler, &limits) : -1;
     if (result != 0) {
@@ -255,12 +256,12 @@
 static uint64_t node_random(void)
 {
     uint64_t value = 0;
-    ssize_t got = getrandom(&value, sizeof(value), 0);
-    return got == (ssize_t)sizeof(value) && value != 0 ? value : clock_monotonic_us() | 1;
+    ssize_t length = getrandom(&value, sizeof(value), 0);
+    return length == (ssize_t)sizeof(value) && value != 0 ? value : clock_monotonic_us() | 1;
 }
 
-/* Before a replica reads its state back, which takes a while: a signal without a handler ends the process. What comes
- * meanwhile is handled when the loop runs. */
+/* Called before a replica is restored, which may take long: without handlers, a signal would kill the process. Signals
+ * received meanwhile are handled once the loop runs. */
 static void node_open_signals(struct node *node)
 {
     uv_signal_init(&node->loop, &node->terminate);
@@ -277,11 +278,11 @@
 static void node_open_timers(struct node *node)
 {
     uv_timer_init(&node->loop, &node->tick);
-    uv_prepare_init(&node->loop, &node->settle);
+    uv_prepare_init(&node->loop, &node->prepare);
     node->tick.data = node;
-    node->settle.data = node;
+    node->prepare.data = node;
     uv_timer_start(&node->tick, node_on_tick, 0, NODE_TICK_MS);
-    uv_prepare_start(&node->settle, node_on_settle);
+    uv_prepare_start(&node->prepare, node_on_prepare);
 }
 
 static bool node_open(struct node *node)
@@ -307,8 +308,8 @@
     node_dial(node);
     node_peers_changed(node);
     if (gateway) {
-        node->front = front_open(node);
-        if (node->front == NULL) {
+        node->frontend = frontend_open(node);
+        if (node->frontend == NULL) {
             return false;
         }
     }
@@ -333,16 +334,17 @@
     }
 }
 
-/* Requests end first, then what they use; memory that holds handles goes last. */
+/* Requests are closed before the connections they use. `frontend` and `host` contain libuv handles: they are freed
+ * after the loop has closed these. */
 static void node_close(struct node *node)
 {
-    if (node->front != NULL) {
-        front_close(node->front);
+    if (node->frontend != NULL) {
+        frontend_close(node->frontend);
     }
     http_listener_close(&node->ready);
     http_listener_close(&node->metrics);
     control_client_close(&node->client);
-    machine_reader_close(&node->machines);
+    machine_reader_close(&node->machine_reader);
     if (node->upstreams.loop != NULL) {
         upstream_close(&node->upstreams);
     }
@@ -352,7 +354,7 @@
     links_close(&node->links);
     watch_state_close(&node->state);
     while (node->local_first != NULL) {
-        struct node_frame *next = node->local_first->next;
+        struct node_local_frame *next = node->local_first->next;
         buffer_close(&node->local_first->data);
         free(node->local_first);
         node->local_first = next;
@@ -360,7 +362,7 @@
     uv_walk(&node->loop, node_close_handle, NULL);
     uv_run(&node->loop, UV_RUN_DEFAULT);
     uv_loop_close(&node->loop);
-    free(node->front);
+    free(node->frontend);
     free(node->host);
 }
 
@@ -370,17 +372,17 @@
     log_level_parse(node->settings.log_level, &level);
     node->memory = memory_budget_of((size_t)node->settings.memory_mb << 20);
     event_log_open(node->settings.name, (uint32_t)node->settings.log_lines_per_s);
-    event_log_time(clock_monotonic_ms(), clock_wall_ms());
+    event_log_set_time(clock_monotonic_ms(), clock_wall_ms());
     log_redirect(level, node_log_line);
     uv_loop_init(&node->loop);
     node->links.listener = -1;
     node->links.epoll = -1;
     int status = EXIT_FAILURE;
     if (node_open(node)) {
-        event_log("start", "{s:I,s:i,s:b,s:b,s:b}", "id", (json_int_t)node->id, "level", LINKS_LEVEL, "replica",
-                  node->host != NULL, "gateway", node->front != NULL, "bootstrap", node->settings.bootstrap);
+        event_log("start", "{s:I,s:i,s:b,s:b,s:b}", "id", (json_int_t)node->id, "level", LINKS_FEATURE_LEVEL, "replica",
+                  node->host != NULL, "gateway", node->frontend != NULL, "bootstrap", node->settings.bootstrap);
         uv_run(&node->loop, UV_RUN_DEFAULT);
-        node_on_settle(&node->settle);
+        node_on_prepare(&node->prepare);
         event_log("stop", "{s:b}", "asked", node->draining);
         status = node->draining ? EXIT_SUCCESS : EXIT_FAILURE;
     }
--- a/src/proxy/node.h
+++ b/src/proxy/node.h
@@ -1,9 +1,9 @@
 /**
  * @file node.h
- * A daemon of a site that finds its peers by itself: one thread, one libuv
- * loop. By its settings it is a gateway (front.h), a state replica
- * (state_host.h), or both. What both need stands here: links to the state
- * replicas, requests to their leader, the watch, the machine list, stopping.
+ * Site daemon: one thread, one libuv loop. It is a gateway (frontend.h), a state
+ * replica (state_host.h), or both. This module has the common parts:
+ * connections to the state replicas, requests to their leader, the watch of the
+ * site's state (core/watch.h), the machine list, and shutdown.
  */
 #ifndef BANKBANK_PROXY_NODE_H
 #define BANKBANK_PROXY_NODE_H
@@ -22,132 +22,131 @@
 #include "proxy/node_work.h"
 
 enum {
-    NODE_TICK_MS = 20,             /**< Period of the clock tick. */
-    NODE_ISOLATED_MS = 700,        /**< Silence of all replicas after which a gateway counts as cut off. */
-    NODE_STALL_MS = 400,           /**< A gap between ticks that is a standstill of this process. */
-    NODE_WOKE_MS = 200,            /**< Time after a standstill of its own for which others' silence says nothing. */
-    NODE_FRESH_MS = 1500,          /**< Time without a fresh replica before a gateway helps itself. */
-    NODE_OWN_LIST_PERIOD_MS = 1000 /**< Pause between readings of the list by a gateway cut off. */
+    NODE_TICK_MS = 20,
+    NODE_ISOLATED_MS = 700,             /**< Time without any frame after which a gateway is isolated. */
+    NODE_STALL_MS = 400,                /**< Gap between ticks that counts as a stall. */
+    NODE_STALL_GRACE_MS = 200,          /**< Time after a stall in which peers' silence is ignored. */
+    NODE_FRESHNESS_TIMEOUT_MS = 1500,   /**< Age up to which watched state is fresh. */
+    NODE_FALLBACK_LIST_PERIOD_MS = 1000 /**< Fetch period of a gateway without fresh state. */
 };
 
 struct state_host;
-struct front;
+struct frontend;
 
-/** Receives the outcome of a request; `body` is valid during the call. */
+/** `body` is valid during the call only. */
 typedef void (*node_reply)(void *context, ResultCode code, struct view body);
 
-/** A request to the state replicas that is under way. */
+/** A request in flight to the state replicas. */
 struct node_request {
-    node_reply reply; /**< Receiver. */
-    void *context;    /**< Its first argument. */
+    node_reply reply; /**< NULL: the result is ignored. */
+    void *context;    /**< Passed to `reply`. */
 };
 
-/** A frame that the node sends to itself. */
-struct node_frame {
-    struct buffer data;      /**< Encoded frame. */
-    struct node_frame *next; /**< Queue. */
+/** An encoded frame that the node sent to itself. */
+struct node_local_frame {
+    struct buffer data;
+    struct node_local_frame *next;
 };
 
-/** The daemon. */
 struct node {
-    const struct dialect *dialect;  /**< The platform's manner of speaking. */
-    const char *settings_path;      /**< Settings file. */
-    struct node_settings settings;  /**< Settings in force. */
-    memory_budget_t memory;         /**< Shares of the memory that it may use. */
-    uv_loop_t loop;                 /**< Event loop. */
-    uv_timer_t tick;                /**< Clock tick. */
-    uv_prepare_t settle;            /**< Runs before each wait: syncs, flushes. */
-    uv_signal_t terminate;          /**< SIGTERM. */
-    uv_signal_t interrupt;          /**< SIGINT. */
-    uv_signal_t reload;             /**< SIGHUP. */
-    uint32_t id;                    /**< Node id. */
-    uint64_t boot_id;               /**< Random id of this start. */
-    struct links_watcher watcher;   /**< Binds links to the loop. */
-    struct links links;             /**< Connections to other daemons. */
-    struct control_client client;   /**< Requests to the leader. */
-    struct raft_member_place relay; /**< Where the replica is to which the watch was referred. */
-    struct watch_client watch;      /**< The watch. */
-    struct watch_state state;       /**< What is known of the site. */
-    struct upstream_pool upstreams; /**< Connections to servers and to the machine list. */
-    struct machine_reader machines; /**< Machine list. */
-    struct node_frame *local_first; /**< Frames to itself. */
-    struct node_frame *local_last;  /**< Last of them. */
-    struct state_host *host;        /**< State replica, or NULL. */
-    struct front *front;            /**< Gateway, or NULL. */
-    struct http_listener ready;     /**< Readiness question. */
-    struct http_listener metrics;   /**< Metrics. */
-    uint64_t ticked_ms;             /**< Last tick. */
-    uint64_t ticked_disk_ms;        /**< Time a replica had waited for its disk until the last tick. */
-    uint64_t woke_ms;               /**< End of the last stall: what began before says nothing of others. */
-    uint64_t heard_ms;              /**< Last frame of another daemon. */
-    node_work_t work;               /**< What it worked on, as told last. */
-    bool fresh_told;                /**< Whether the log last told that the state replicas are in touch. */
-    bool draining;                  /**< The stop has begun. */
-    uint64_t drain_since_ms;        /**< When. */
-    uint64_t settings_checked_ms;   /**< Last look at the settings file. */
+    const struct dialect *dialect;
+    const char *settings_path;
+    struct node_settings settings;
+    memory_budget_t memory;
+    uv_loop_t loop;
+    uv_timer_t tick;
+    uv_prepare_t prepare;  /**< Before each wait of the loop: syncs and flushes. */
+    uv_signal_t terminate; /**< SIGTERM. */
+    uv_signal_t interrupt; /**< SIGINT. */
+    uv_signal_t reload;    /**< SIGHUP. */
+    uint32_t id;
+    uint64_t boot_id; /**< Random id of this run of the process. */
+    struct links_event_loop links_event_loop;
+    struct links links;
+    struct control_client client;      /**< Requests to the leader. */
+    struct raft_member_location relay; /**< Location of the replica that the watch was referred to. */
+    struct watch_client watch;         /**< Receives the site's state from a replica. */
+    struct watch_state state;          /**< The site's state, as last received or applied. */
+    struct upstream_pool upstreams;    /**< Connections to servers and to the machine list. */
+    struct machine_reader machine_reader;
+    /* Queue of frames to this node; both NULL: empty. */
+    struct node_local_frame *local_first;
+    struct node_local_frame *local_last;
+    struct state_host *host;    /**< State replica, or NULL. */
+    struct frontend *frontend;  /**< Gateway, or NULL. */
+    struct http_listener ready; /**< Readiness probe. */
+    struct http_listener metrics;
+    uint64_t last_tick_ms;
+    uint64_t last_tick_disk_wait_ms; /**< state_host.disk_wait_ms at the last tick. */
+    uint64_t stall_end_ms;
+    uint64_t last_received_ms; /**< Last frame from another daemon. */
+    node_work_t work;          /**< Counters at the last `work` log line. */
+    bool logged_fresh;
+    bool draining;
+    uint64_t drain_started_ms;
+    uint64_t settings_checked_ms;
 };
 
 /** Runs a daemon until it is stopped; returns the exit status. */
 int node_run(const struct dialect *dialect, const char *settings_path);
 
-/** Loop time, ms: that of the begin of its turn. */
+/** Monotonic time, ms, cached by libuv at the start of each loop iteration. */
 uint64_t node_now(const struct node *node);
 
-/** The time now, ms, on the same clock: later than the loop's where the process stood still within the turn. */
+/** Current time, ms, on the clock of node_now(); ahead of it if the process stalled within the loop iteration. */
 uint64_t node_real_now(void);
 
-/** Sends a request to the leader; `reply` comes once, by `deadline_ms` at the latest. Returns a handle to forget it. */
+/** Sends a request to the leader; `reply` is called once, by `deadline_ms` at the latest. Returns a handle for
+ * node_ignore_reply(). */
 struct node_request *node_submit(struct node *node, RequestKind kind, struct view body, uint64_t deadline_ms,
                                  node_reply reply, void *context);
 
-/** Proposes an entry to the leader. */
 struct node_request *node_propose(struct node *node, const Entry *entry, uint64_t deadline_ms, node_reply reply,
                                   void *context);
 
-/** Proposes an entry that nobody waits for; it is tried until `deadline_ms`. */
-void node_post(struct node *node, const Entry *entry, uint64_t deadline_ms);
+/** Retries until `deadline_ms`; the result is not reported. */
+void node_propose_background(struct node *node, const Entry *entry, uint64_t deadline_ms);
 
-/** Asks one replica once. */
-struct node_request *node_ask(struct node *node, uint32_t replica, RequestKind kind, struct view body,
-                              uint64_t deadline_ms, node_reply reply, void *context);
+/** Sends a request to one replica, once, without retries. */
+struct node_request *node_submit_to_replica(struct node *node, uint32_t replica, RequestKind kind, struct view body,
+                                            uint64_t deadline_ms, node_reply reply, void *context);
 
-/** No reply comes any more; the request itself goes on. NULL is allowed. */
-void node_forget(struct node *node, struct node_request *request);
+/** Prevents the reply callback; the request itself continues. `request` may be NULL. */
+void node_ignore_reply(struct node *node, struct node_request *request);
 
-/** Sends an encoded frame to a node, which may be this one. */
+/** Sends an encoded frame to a node, which may be this one; returns whether it was queued. */
 bool node_send(struct node *node, uint32_t to, struct view frame);
 
-/** Encodes and sends a frame. */
 bool node_send_frame(struct node *node, uint32_t to, const Frame *frame);
 
-/** Dials the seeds and the members that are known now. */
+/** Connects to the seeds, the known members and the relay, and closes connections to other addresses. */
 void node_dial(struct node *node);
 
-/** Updates what depends on which replicas are connected. */
+/** Updates the watch and the request client after the set of connected replicas changed. */
 void node_peers_changed(struct node *node);
 
-/** Tells the gateway, if there is one, what is new. */
+/** Applies changes of the site's state to the connections and to the gateway, if there is one. */
 void node_state_changed(struct node *node, struct watch_changes changes);
 
-/** Writes a log line of the drained zones that are known. */
 void node_log_drained(const struct node *node, const char *event);
 
-/** Whether a state replica in touch with a quorum answered lately. */
+/** Whether a state replica in contact with a quorum replied within NODE_FRESHNESS_TIMEOUT_MS, or this node's own
+ * replica is in contact with a quorum. */
 bool node_is_fresh(const struct node *node);
 
-/** The same at a time, such as node_real_now() where the loop's may be long past. */
+/** node_is_fresh() at a given time, such as node_real_now(). */
 bool node_is_fresh_at(const struct node *node, uint64_t now_ms);
 
-/** Time since a replica in touch with a quorum was last asked and answered, ms; 0 where this node holds one. */
+/** Time since the last watch reply from a replica in contact with a quorum, ms; 0 on a node with a replica. */
 uint64_t node_state_age(const struct node *node);
 
-/** Whether no state replica can be reached, not even one out of touch with the others. */
+/** Whether no state replica, fresh or not, has sent this gateway anything for NODE_ISOLATED_MS. */
 bool node_is_isolated(const struct node *node);
 
-/** Whether this process stood still until a moment ago: others' silence says nothing then. */
-bool node_has_just_woken(const struct node *node);
+/** If true, peers' silence may be due to a stall of this process. */
+bool node_recently_stalled(const struct node *node);
 
-/** Ends the daemon. */
+/** Stops the event loop, which ends node_run(). */
 void node_stop(struct node *node);
 
 #endif
--- a/src/proxy/node_links.c
+++ b/src/proxy/node_links.c
@@ -1,13 +1,13 @@
-/* How a node reaches others: frames, requests to the leader, peers, the watch, the machine list. */
+/* Site daemon: frames, requests to the leader, connections, the watch, the machine list. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
 #include "base/event_log.h"
 #include "base/message.h"
-#include "proxy/front.h"
+#include "proxy/frontend.h"
+#include "proxy/links_uv.h"
 #include "proxy/node_internal.h"
-#include "proxy/peer_loop.h"
 #include "proxy/state_host.h"
 
 static const char NODE_CLUSTER[] = "site";
@@ -16,7 +16,7 @@
 
 static void node_queue_local(struct node *node, struct view frame)
 {
-    struct node_frame *local = memory_new(sizeof(*local));
+    struct node_local_frame *local = memory_new(sizeof(*local));
     buffer_append(&local->data, frame.data, frame.length);
     if (node->local_last == NULL) {
         node->local_first = local;
@@ -43,11 +43,12 @@
     return sent;
 }
 
-/* A gateway's watch may be referred to a replica outside the group (core/watch.h). */
-static void node_take_referral(struct node *node, const WatchUpdate *update)
+/* Connects to the relay that the watch was referred to, or disconnects from it if there is none now. A relay is a
+ * replica outside the group (core/watch.h). */
+static void node_apply_referral(struct node *node, const WatchUpdate *update)
 {
     if (node->watch.relay != RAFT_NO_NODE) {
-        raft_member_place_from_wire(&update->relay, &node->relay);
+        raft_member_location_from_wire(&update->relay, &node->relay);
     }
     event_log("referred", "{s:I,s:s}", "relay", (json_int_t)node->watch.relay, "machine",
               node->watch.relay == RAFT_NO_NODE ? "" : node->relay.name);
@@ -66,7 +67,7 @@
                       (json_int_t)from);
         }
         if (changes.relay) {
-            node_take_referral(node, &frame->payload.watch_update);
+            node_apply_referral(node, &frame->payload.watch_update);
         }
         if (frame->payload.watch_update.fresh) {
             control_client_hint_leader(&node->client, node_now(node), STATE_CONFIG_GROUP,
@@ -76,8 +77,8 @@
         break;
     }
     case Frame_load_totals_tag:
-        if (node->front != NULL) {
-            front_take_totals(node->front, &frame->payload.load_totals);
+        if (node->frontend != NULL) {
+            frontend_apply_load_totals(node->frontend, &frame->payload.load_totals);
         }
         break;
     default:
@@ -91,15 +92,15 @@
 static void node_on_frame(void *context, uint32_t from, const Frame *frame)
 {
     struct node *node = context;
-    node->heard_ms = node_now(node);
-    control_client_note_heard(&node->client, node_now(node), from);
+    node->last_received_ms = node_now(node);
+    control_client_record_received(&node->client, node_now(node), from);
     node_dispatch(node, from, frame);
 }
 
-void node_handle_local(struct node *node)
+void node_dispatch_local_frames(struct node *node)
 {
     while (node->local_first != NULL) {
-        struct node_frame *local = node->local_first;
+        struct node_local_frame *local = node->local_first;
         node->local_first = local->next;
         if (node->local_first == NULL) {
             node->local_last = NULL;
@@ -157,24 +158,25 @@
     return request;
 }
 
-void node_post(struct node *node, const Entry *entry, uint64_t deadline_ms)
+void node_propose_background(struct node *node, const Entry *entry, uint64_t deadline_ms)
 {
     struct buffer body = {0};
     message_encode(&body, Entry_fields, entry);
-    control_client_post(&node->client, node_now(node), STATE_CONFIG_GROUP, REQUEST_PROPOSE, buffer_view(&body),
-                        deadline_ms, node_request_new(NULL, NULL));
+    control_client_submit_background(&node->client, node_now(node), STATE_CONFIG_GROUP, REQUEST_PROPOSE,
+                                     buffer_view(&body), deadline_ms, node_request_new(NULL, NULL));
     buffer_close(&body);
 }
 
-struct node_request *node_ask(struct node *node, uint32_t replica, RequestKind kind, struct view body,
-                              uint64_t deadline_ms, node_reply reply, void *context)
+struct node_request *node_submit_to_replica(struct node *node, uint32_t replica, RequestKind kind, struct view body,
+                                            uint64_t deadline_ms, node_reply reply, void *context)
 {
     struct node_request *request = node_request_new(reply, context);
-    control_client_ask(&node->client, node_now(node), replica, STATE_CONFIG_GROUP, kind, body, deadline_ms, request);
+    control_client_submit_to_replica(&node->client, node_now(node), replica, STATE_CONFIG_GROUP, kind, body,
+                                     deadline_ms, request);
     return request;
 }
 
-void node_forget(struct node *node, struct node_request *request)
+void node_ignore_reply(struct node *node, struct node_request *request)
 {
     (void)node;
     if (request != NULL) {
@@ -184,21 +186,21 @@
 
 /* ---- Peers ------------------------------------------------------------------------------- */
 
-static void node_place(const struct node *node, struct raft_member_place *place)
+static void node_own_location(const struct node *node, struct raft_member_location *location)
 {
     struct address own;
     char text[64];
-    memset(place, 0, sizeof(*place));
+    memset(location, 0, sizeof(*location));
     snprintf(text, sizeof(text), "%s:%llu", node->settings.ip, (unsigned long long)node->settings.peer_port);
     if (address_parse(text, &own)) {
-        place->ip = ntohl(own.socket.sin_addr.s_addr);
-        place->port = own.port;
+        location->ip = ntohl(own.socket.sin_addr.s_addr);
+        location->port = own.port;
     }
-    snprintf(place->name, sizeof(place->name), "%s", node->settings.name);
-    snprintf(place->zone, sizeof(place->zone), "%s", text_or_empty(node->settings.zone));
+    snprintf(location->name, sizeof(location->name), "%s", node->settings.name);
+    snprintf(location->zone, sizeof(location->zone), "%s", text_or_empty(node->settings.zone));
 }
 
-static void node_address(uint32_t ip, uint16_t port, struct address *address)
+static void node_make_address(uint32_t ip, uint16_t port, struct address *address)
 {
     memset(address, 0, sizeof(*address));
     address->socket.sin_family = AF_INET;
@@ -208,22 +210,23 @@
     snprintf(address->ip, sizeof(address->ip), "%u.%u.%u.%u", ip >> 24, (ip >> 16) & 255, (ip >> 8) & 255, ip & 255);
 }
 
+/* Skips this node's own address and duplicates; returns the new count. */
 static uint32_t node_add_address(const struct node *node, struct address *addresses, uint32_t count,
                                  const struct address *address)
 {
-    bool own = strcmp(address->ip, node->settings.ip) == 0 && address->port == node->settings.peer_port;
+    bool skip = strcmp(address->ip, node->settings.ip) == 0 && address->port == node->settings.peer_port;
     for (uint32_t i = 0; i < count; i++) {
-        own = own || (strcmp(addresses[i].ip, address->ip) == 0 && addresses[i].port == address->port);
+        skip = skip || (strcmp(addresses[i].ip, address->ip) == 0 && addresses[i].port == address->port);
     }
-    if (own || count == RAFT_MAX_MEMBERS) {
+    if (skip || count == RAFT_MAX_MEMBERS) {
         return count;
     }
     addresses[count] = *address;
     return count + 1;
 }
 
-/* A replica dials the members in its log, committed or not: after a start it has to reach them before anything can be
- * known as committed. Others dial those that they were told. */
+/* A replica connects to the members in its log, committed or not: after a start it cannot learn what is committed
+ * without them. Other daemons connect to the members received by the watch. */
 void node_dial(struct node *node)
 {
     struct address addresses[RAFT_MAX_MEMBERS];
@@ -232,63 +235,64 @@
     const struct raft_members *logged = node->host == NULL ? NULL : state_host_logged_members(node->host);
     const struct raft_members *members = logged != NULL ? logged : &node->state.members;
     for (uint32_t i = 0; i < members->count; i++) {
-        if (members->places[i].ip != 0) {
-            node_address(members->places[i].ip, members->places[i].port, &address);
+        if (members->locations[i].ip != 0) {
+            node_make_address(members->locations[i].ip, members->locations[i].port, &address);
             count = node_add_address(node, addresses, count, &address);
         }
     }
     const struct node_seed *seeds = node->settings.seeds.items;
     for (size_t i = 0; i < node->settings.seeds.count; i++) {
         if (address_parse(seeds[i].address, &address)) {
-            node_address(ntohl(address.socket.sin_addr.s_addr), (uint16_t)node->settings.peer_port, &address);
+            node_make_address(ntohl(address.socket.sin_addr.s_addr), (uint16_t)node->settings.peer_port, &address);
             count = node_add_address(node, addresses, count, &address);
         }
     }
     if (node->watch.relay != RAFT_NO_NODE) {
-        node_address(node->relay.ip, node->relay.port, &address);
+        node_make_address(node->relay.ip, node->relay.port, &address);
         count = node_add_address(node, addresses, count, &address);
     }
-    links_dial_only(&node->links, addresses, count);
+    links_set_addresses(&node->links, addresses, count);
 }
 
-/* The replicas that are connected, the members of the group first: of many machines only the first ones are kept. */
-static uint32_t node_list_replicas(const struct node *node, uint32_t *nodes, struct raft_member_place *places)
+/* Group members first; returns the count, at most RAFT_MAX_MEMBERS - 1. */
+static uint32_t node_connected_replicas(const struct node *node, uint32_t *nodes,
+                                        struct raft_member_location *locations)
 {
-    uint32_t count = links_replicas(&node->links, nodes, places, LINKS_REPLICAS_MOST);
+    uint32_t count = links_list_replicas(&node->links, nodes, locations, LINKS_MAX_REPLICAS);
     uint32_t members = 0;
     for (uint32_t i = 0; i < count; i++) {
         if (raft_member_position(&node->state.members, nodes[i]) < 0) {
             continue;
         }
         uint32_t other = nodes[members];
-        struct raft_member_place place = places[members];
+        struct raft_member_location location = locations[members];
         nodes[members] = nodes[i];
-        places[members++] = places[i];
+        locations[members++] = locations[i];
         nodes[i] = other;
-        places[i] = place;
+        locations[i] = location;
     }
     return count < RAFT_MAX_MEMBERS ? count : RAFT_MAX_MEMBERS - 1;
 }
 
 void node_peers_changed(struct node *node)
 {
-    uint32_t nodes[LINKS_REPLICAS_MOST];
-    struct raft_member_place places[LINKS_REPLICAS_MOST];
+    uint32_t nodes[LINKS_MAX_REPLICAS];
+    struct raft_member_location locations[LINKS_MAX_REPLICAS];
     struct watch_candidate candidates[RAFT_MAX_MEMBERS];
-    uint32_t count = node_list_replicas(node, nodes, places);
-    uint32_t asked = 0;
+    uint32_t count = node_connected_replicas(node, nodes, locations);
+    uint32_t replica_count = 0;
     for (uint32_t i = 0; i < count; i++) {
         candidates[i].node = nodes[i];
-        candidates[i].same_zone = text_equal(places[i].zone, node->settings.zone);
-        nodes[asked] = nodes[i];
-        asked += nodes[i] != node->watch.relay ? 1 : 0; /* a relay answers no requests */
+        candidates[i].same_zone = text_equal(locations[i].zone, node->settings.zone);
+        nodes[replica_count] = nodes[i];
+        replica_count += nodes[i] != node->watch.relay ? 1 : 0; /* relays do not serve requests */
     }
     if (node->host != NULL && node->host->running) {
-        nodes[asked++] = node->id;
+        nodes[replica_count++] = node->id;
     } else {
         watch_client_set_candidates(&node->watch, candidates, count);
     }
-    control_client_set_replicas(&node->client, nodes, asked);
+    control_client_set_replicas(&node->client, nodes, replica_count);
 }
 
 static void node_on_connected(void *context, uint32_t peer)
@@ -303,7 +307,7 @@
     struct node *node = context;
     event_log("peer_lost", "{s:I}", "peer", (json_int_t)peer);
     if (node->host != NULL) {
-        state_host_peer_lost(node->host, peer);
+        state_host_peer_disconnected(node->host, peer);
     }
     node_peers_changed(node);
     control_client_disconnected(&node->client, node_now(node), peer);
@@ -321,7 +325,7 @@
     buffer_close(&names);
 }
 
-/* ---- What is known of the site -------------------------------------------------------------- */
+/* ---- State of the site ---------------------------------------------------------------------- */
 
 void node_state_changed(struct node *node, struct watch_changes changes)
 {
@@ -329,14 +333,14 @@
         node_dial(node);
         node_peers_changed(node);
     }
-    if (node->front != NULL && changes.document) {
-        front_take_configuration(node->front);
+    if (node->frontend != NULL && changes.document) {
+        frontend_apply_configuration(node->frontend);
     }
-    if (node->front != NULL && changes.drained) {
-        front_take_drained(node->front);
+    if (node->frontend != NULL && changes.drained) {
+        frontend_apply_drained_zones(node->frontend);
     }
-    if (node->front != NULL && changes.servers) {
-        front_take_servers(node->front);
+    if (node->frontend != NULL && changes.servers) {
+        frontend_apply_servers(node->frontend);
     }
 }
 
@@ -345,7 +349,7 @@
     if (node->host != NULL && node->host->running) {
         return replica_is_fresh(&node->host->replica, STATE_CONFIG_GROUP, now_ms);
     }
-    return watch_client_is_fresh(&node->watch, now_ms, NODE_FRESH_MS);
+    return watch_client_is_fresh(&node->watch, now_ms, NODE_FRESHNESS_TIMEOUT_MS);
 }
 
 bool node_is_fresh(const struct node *node)
@@ -358,23 +362,22 @@
     return node->host != NULL ? 0 : node_now(node) - node->watch.fresh_ms;
 }
 
-/* The end of a standstill shows in the tick, and before it in that the tick is late: callers' requests may be read
- * first. */
-bool node_has_just_woken(const struct node *node)
+/* An overdue tick counts as well: after a stall, requests may be read before the tick that detects it. */
+bool node_recently_stalled(const struct node *node)
 {
     uint64_t now_ms = node_now(node);
-    return now_ms < node->woke_ms + NODE_WOKE_MS || now_ms >= node->ticked_ms + NODE_STALL_MS;
+    return now_ms < node->stall_end_ms + NODE_STALL_GRACE_MS || now_ms >= node->last_tick_ms + NODE_STALL_MS;
 }
 
-/* What the replicas have sent meanwhile is read before their silence is judged. */
+/* False right after a stall: frames that arrived during it may still be unread. */
 bool node_is_isolated(const struct node *node)
 {
-    bool silent = node_now(node) >= node->heard_ms + NODE_ISOLATED_MS;
-    return node->host == NULL && silent && !node_has_just_woken(node);
+    bool silent = node_now(node) >= node->last_received_ms + NODE_ISOLATED_MS;
+    return node->host == NULL && silent && !node_recently_stalled(node);
 }
 
-/* A replica watches its leader, for the list of servers; a gateway, or a machine that holds nothing yet and has to
- * learn who the members are, the nearest replica. */
+/* A group member watches its leader, for the server list. Gateways, and replicas outside the group, watch any replica,
+ * preferably in their own zone. */
 void node_watch(struct node *node)
 {
     if (node->host != NULL && node->host->running) {
@@ -390,7 +393,7 @@
         node_send_frame(node, node->watch.target, &frame);
     }
     if (node->watch.relay != relay) {
-        node_take_referral(node, &(const WatchUpdate){0}); /* the one that it had does not answer */
+        node_apply_referral(node, &(const WatchUpdate){0}); /* the previous relay does not respond */
     }
 }
 
@@ -398,21 +401,21 @@
 {
     struct node *node = context;
     if (node->host != NULL) {
-        state_host_take_servers(node->host, encoded);
-    } else if (node->front != NULL && !node_is_fresh(node)) {
-        front_take_own_servers(node->front, encoded);
+        state_host_apply_servers(node->host, encoded);
+    } else if (node->frontend != NULL && !node_is_fresh(node)) {
+        frontend_apply_server_list(node->frontend, encoded);
     }
 }
 
-/* The leader reads the list for all; a gateway that reaches no sound replica reads it itself. One that has just
- * started, and knows no configuration, could serve nobody by it: where all start at once, the platform is spared a
- * call of each, and its limit of calls stays the leader's. */
-void node_read_machines(struct node *node)
+/* The leader fetches the list for the site; a gateway without fresh state fetches it itself. A gateway without a
+ * configuration does not: it cannot serve requests, and when all daemons start together, their fetches would use up the
+ * platform's rate limit, which the leader needs. */
+void node_fetch_machines(struct node *node)
 {
-    bool leads = node->host != NULL && state_host_leads(node->host);
-    bool alone = node->host == NULL && node->state.document_version > 0 && !node_is_fresh(node);
-    node->machines.period_ms = leads ? node->settings.list_period_ms : NODE_OWN_LIST_PERIOD_MS;
-    machine_reader_tick(&node->machines, node_now(node), leads || alone);
+    bool leads = node->host != NULL && state_host_is_leader(node->host);
+    bool fallback = node->host == NULL && node->state.document_version > 0 && !node_is_fresh(node);
+    node->machine_reader.period_ms = leads ? node->settings.list_period_ms : NODE_FALLBACK_LIST_PERIOD_MS;
+    machine_reader_tick(&node->machine_reader, node_now(node), leads || fallback);
 }
 
 /* ---- Opening -------------------------------------------------------------------------------- */
@@ -426,7 +429,7 @@
         .boot_id = node->boot_id,
         .listens = node->host != NULL,
         .replica = node->host != NULL,
-        .queued_most = node->memory.queues,
+        .max_queued_bytes = node->memory.queues,
     };
     struct links_handler handler = {
         .context = node,
@@ -434,10 +437,10 @@
         .disconnected = node_on_disconnected,
         .connected = node_on_connected,
     };
-    node->watcher = peer_loop_watcher(&node->loop);
-    node_place(node, &config.place);
-    node_address(config.place.ip, config.place.port, &config.listen);
-    config.watcher = &node->watcher;
+    node->links_event_loop = links_uv_event_loop(&node->loop);
+    node_own_location(node, &config.location);
+    node_make_address(config.location.ip, config.location.port, &config.listen);
+    config.event_loop = &node->links_event_loop;
     if (!links_init(&node->links, &config, &handler)) {
         event_log("listen_failed", "{s:s}", "error", node->links.error);
         return false;
@@ -459,9 +462,9 @@
         .complete = node_on_complete,
     };
     control_client_init(&node->client, &config, &io);
-    node->machines.pool = &node->upstreams;
-    node->machines.dialect = node->dialect;
-    node->machines.context = node;
-    node->machines.done = node_on_servers_read;
-    address_parse(node->settings.machine_list, &node->machines.address);
+    node->machine_reader.pool = &node->upstreams;
+    node->machine_reader.dialect = node->dialect;
+    node->machine_reader.context = node;
+    node->machine_reader.done = node_on_servers_read;
+    address_parse(node->settings.machine_list, &node->machine_reader.address);
 }
--- a/src/proxy/node_metrics.c
+++ b/src/proxy/node_metrics.c
@@ -3,7 +3,7 @@
 #include "base/clock.h"
 #include "base/event_log.h"
 #include "base/process_memory.h"
-#include "proxy/front.h"
+#include "proxy/frontend.h"
 #include "proxy/state_host.h"
 
 static void metrics_write(struct buffer *out, const char *type, const char *name, const char *help, uint64_t value)
@@ -24,13 +24,13 @@
 
 static void metrics_write_kinds(struct buffer *out, const char *direction, const link_counts_t *counts)
 {
-    for (int kind = 0; kind < LINK_KINDS; kind++) {
+    for (int kind = 0; kind < LINK_FRAME_KINDS; kind++) {
         const link_count_t *count = &counts->kinds[kind];
         if (count->frames > 0) {
             buffer_printf(out, "bankbank_link_kind_frames_total{direction=\"%s\",kind=\"%s\"} %llu\n", direction,
-                          link_kind_name(kind), (unsigned long long)count->frames);
+                          link_frame_kind_name(kind), (unsigned long long)count->frames);
             buffer_printf(out, "bankbank_link_kind_bytes_total{direction=\"%s\",kind=\"%s\"} %llu\n", direction,
-                          link_kind_name(kind), (unsigned long long)count->bytes);
+                          link_frame_kind_name(kind), (unsigned long long)count->bytes);
         }
     }
 }
@@ -59,25 +59,26 @@
     metrics_write_counter(out, "link_bytes_in_total", "Bytes received from daemons.", node->links.bytes_in);
     metrics_write_counter(out, "link_bytes_out_total", "Bytes sent to daemons.", node->links.bytes_out);
     metrics_write_links(&node->links, out);
-    metrics_write_counter(out, "processor_ms_total", "Processor time of the process.", clock_processor_ms());
+    metrics_write_counter(out, "processor_ms_total", "Processor time of the process.", clock_cpu_ms());
     metrics_write_counter(out, "machine_list_calls_total", "Calls to the platform's machine list.",
-                          node->machines.calls);
+                          node->machine_reader.calls);
     metrics_write_counter(out, "machine_list_failures_total", "Readings of the machine list that failed.",
-                          node->machines.failures);
+                          node->machine_reader.failures);
     metrics_write_counter(out, "machine_list_left_out_total", "Entries of the machine list that named no server.",
-                          node->machines.left_out);
+                          node->machine_reader.skipped_total);
     metrics_write_gauge(out, "machine_list_left_out", "The same of the last reading.",
-                        server_entries_sum(&node->machines.told));
+                        server_entries_skipped_total(&node->machine_reader.logged_skipped));
     metrics_write_counter(out, "upstream_connections_total", "New connections to servers.", upstreams->connections);
     metrics_write_counter(out, "upstream_reuses_total", "Requests on kept connections.", upstreams->reuses);
     metrics_write_counter(out, "upstream_stray_bytes_total", "Connections closed for bytes of no request.",
-                          upstreams->stray_bytes);
-    metrics_write_counter(out, "upstream_refused_total", "Connections that did not come up.", upstreams->refused);
+                          upstreams->stray_data_closes);
+    metrics_write_counter(out, "upstream_refused_total", "Connections that did not come up.",
+                          upstreams->connect_failures);
     metrics_write_counter(out, "upstream_broken_total", "Requests sent that got no whole answer.", upstreams->broken);
-    metrics_write_gauge(out, "memory_resident_bytes", "Resident memory of the process.", process_memory_resident());
+    metrics_write_gauge(out, "memory_resident_bytes", "Resident memory of the process.", process_resident_bytes());
     metrics_write_counter(out, "log_lines_left_out_total", "Log lines left out.", event_log_dropped());
-    if (node->front != NULL) {
-        front_write_metrics(node->front, out);
+    if (node->frontend != NULL) {
+        frontend_write_metrics(node->frontend, out);
     }
     if (node->host != NULL) {
         state_host_write_metrics(node->host, out);
--- a/src/proxy/node_settings.c
+++ b/src/proxy/node_settings.c
@@ -12,13 +12,13 @@
     NODE_LIST_PERIOD_MS = 500,
     NODE_GRACE_MS = 8000,
     NODE_LOG_LINES_PER_S = 40,
-    NODE_MOST_MS = 3600 * 1000,
-    NODE_MOST_MEMORY_MB = 1 << 20,
-    NODE_MOST_OVERSHOOT = 1000,         /* thousandths */
-    NODE_MOST_START_OVERSHOOT = 100000, /* thousandths */
-    NODE_MOST_SLACK = 1000000,
-    NODE_MOST_WATCHERS = 100000,
-    NODE_MOST_PORT = 65535
+    NODE_MAX_DURATION_MS = 3600 * 1000,
+    NODE_MAX_MEMORY_MB = 1 << 20,
+    NODE_MAX_OVERSHOOT = 1000,         /* thousandths */
+    NODE_MAX_START_OVERSHOOT = 100000, /* thousandths */
+    NODE_MAX_SLACK = 1000000,
+    NODE_MAX_WATCHERS = 100000,
+    NODE_MAX_PORT = 65535
 };
 
 static const struct yaml_field node_seed_fields[] = {
@@ -27,8 +27,8 @@
 };
 
 static const struct yaml_field node_zone_fields[] = {
-    {.key = "name", .type = YAML_TEXT, .offset = offsetof(zone_place_t, name), .required = true},
-    {.key = "region", .type = YAML_TEXT, .offset = offsetof(zone_place_t, region)},
+    {.key = "name", .type = YAML_TEXT, .offset = offsetof(zone_info_t, name), .required = true},
+    {.key = "region", .type = YAML_TEXT, .offset = offsetof(zone_info_t, region)},
     {.key = NULL},
 };
 
@@ -36,17 +36,17 @@
     {                                                                                                                  \
         .key = #name, .type = YAML_TEXT, .offset = offsetof(struct node_settings, name)                                \
     }
-#define NODE_NUMBER(name, least, most)                                                                                 \
+#define NODE_NUMBER(name, min, max)                                                                                    \
     {                                                                                                                  \
-        .key = #name, .type = YAML_NUMBER, .offset = offsetof(struct node_settings, name), .minimum = least,           \
-        .maximum = most                                                                                                \
+        .key = #name, .type = YAML_NUMBER, .offset = offsetof(struct node_settings, name), .minimum = min,             \
+        .maximum = max                                                                                                 \
     }
 
 static const struct yaml_field node_settings_fields[] = {
     NODE_TEXT(name),
     NODE_TEXT(zone),
     NODE_TEXT(ip),
-    NODE_NUMBER(peer_port, 1, NODE_MOST_PORT),
+    NODE_NUMBER(peer_port, 1, NODE_MAX_PORT),
     {.key = "bootstrap", .type = YAML_FLAG, .offset = offsetof(struct node_settings, bootstrap)},
     NODE_TEXT(data),
     NODE_TEXT(caller_address),
@@ -63,30 +63,30 @@
      .type = YAML_LIST,
      .offset = offsetof(struct node_settings, zones),
      .fields = node_zone_fields,
-     .item_size = sizeof(zone_place_t)},
-    NODE_NUMBER(closed_port, 0, NODE_MOST_PORT),
-    NODE_NUMBER(refer_above, 0, NODE_MOST_WATCHERS),
-    NODE_NUMBER(list_period_ms, 50, NODE_MOST_MS),
+     .item_size = sizeof(zone_info_t)},
+    NODE_NUMBER(closed_port, 0, NODE_MAX_PORT),
+    NODE_NUMBER(refer_above, 0, NODE_MAX_WATCHERS),
+    NODE_NUMBER(list_period_ms, 50, NODE_MAX_DURATION_MS),
     {.key = "grace_s",
      .type = YAML_SECONDS,
      .offset = offsetof(struct node_settings, grace_ms),
-     .maximum = NODE_MOST_MS},
+     .maximum = NODE_MAX_DURATION_MS},
     {.key = "quota_window_s",
      .type = YAML_SECONDS,
      .offset = offsetof(struct node_settings, quota_window_ms),
-     .maximum = NODE_MOST_MS},
-    /* Fractions: read as seconds are, they come in thousandths. */
+     .maximum = NODE_MAX_DURATION_MS},
+    /* Fractions: YAML_SECONDS converts them to thousandths. */
     {.key = "quota_overshoot",
      .type = YAML_SECONDS,
      .offset = offsetof(struct node_settings, quota_overshoot),
-     .maximum = NODE_MOST_OVERSHOOT},
-    NODE_NUMBER(quota_slack, 0, NODE_MOST_SLACK),
+     .maximum = NODE_MAX_OVERSHOOT},
+    NODE_NUMBER(quota_slack, 0, NODE_MAX_SLACK),
     {.key = "start_overshoot",
      .type = YAML_SECONDS,
      .offset = offsetof(struct node_settings, start_overshoot),
-     .maximum = NODE_MOST_START_OVERSHOOT},
-    NODE_NUMBER(start_slack, 0, NODE_MOST_SLACK),
-    NODE_NUMBER(memory_mb, 0, NODE_MOST_MEMORY_MB),
+     .maximum = NODE_MAX_START_OVERSHOOT},
+    NODE_NUMBER(start_slack, 0, NODE_MAX_SLACK),
+    NODE_NUMBER(memory_mb, 0, NODE_MAX_MEMORY_MB),
     NODE_NUMBER(log_lines_per_s, 0, 100000),
     NODE_TEXT(log_level),
     {.key = NULL},
@@ -113,10 +113,10 @@
     if (!node_is_set(value) || address_parse(value, &address)) {
         return;
     }
-    struct buffer place = {0};
-    buffer_printf(&place, "%s: %s", path, key);
-    findings_add(findings, buffer_text(&place), "must be IP:PORT, not '%s'", value);
-    buffer_close(&place);
+    struct buffer location = {0};
+    buffer_printf(&location, "%s: %s", path, key);
+    findings_add(findings, buffer_text(&location), "must be IP:PORT, not '%s'", value);
+    buffer_close(&location);
 }
 
 static void node_settings_check(const struct node_settings *settings, const char *path, struct findings *findings)
@@ -152,9 +152,9 @@
 {
     node_settings_defaults(settings);
     yaml_read_file(path, node_settings_fields, settings, findings);
-    const char *further = getenv(NODE_SETTINGS_FURTHER);
-    if (further != NULL) {
-        yaml_read_text(NODE_SETTINGS_FURTHER, further, node_settings_fields, settings, findings);
+    const char *environment = getenv(NODE_SETTINGS_ENV);
+    if (environment != NULL) {
+        yaml_read_text(NODE_SETTINGS_ENV, environment, node_settings_fields, settings, findings);
     }
     node_settings_check(settings, path, findings);
 }
--- a/src/proxy/node_work.h
+++ b/src/proxy/node_work.h
@@ -1,27 +1,26 @@
 /**
  * @file node_work.h
- * A line of the log every few seconds that tells what a process worked on:
- * its processor time, and the frames that it received and sent by kind. It
- * shows which process comes to its limit, when, and by whose messages.
+ * Periodically logs the process's CPU time and its frames by kind as a `work`
+ * event, to find overloaded processes and the cause of their load.
  */
 #ifndef BANKBANK_PROXY_NODE_WORK_H
 #define BANKBANK_PROXY_NODE_WORK_H
 
 #include "net/link_counts.h"
 
-enum { NODE_WORK_MS = 5000 /**< Period of the line. */ };
+enum { NODE_WORK_PERIOD_MS = 5000 };
 
 struct node;
 
-/** What the last line told; all zero: none yet. */
+/** Time and counters at the last log line; all zero: none was written yet. */
 typedef struct node_work_t {
-    uint64_t told_ms;         /**< Its time. */
-    uint64_t processor_ms;    /**< Processor time until then. */
-    link_counts_t counts_in;  /**< Frames received until then. */
-    link_counts_t counts_out; /**< Frames sent until then. */
+    uint64_t logged_ms;
+    uint64_t processor_ms;
+    link_counts_t counts_in;
+    link_counts_t counts_out;
 } node_work_t;
 
-/** Writes the line if it is due. */
-void node_work_tell(struct node *node);
+/** Writes the log line if it is due. */
+void node_work_log(struct node *node);
 
 #endif
--- a/src/proxy/state_host.c
+++ b/src/proxy/state_host.c
@@ -1,4 +1,4 @@
-/* Hosts a state replica: lifecycle, roles, memory, what it has learnt, metrics. */
+/* State replica: lifecycle, role, memory, the site's state, metrics. */
 #include "proxy/state_host_internal.h"
 
 #include <stdlib.h>
@@ -9,10 +9,10 @@
 #include "proxy/node_metrics.h"
 
 enum {
-    STATE_HOST_CONTROL_HEAD = 16 << 10,
-    STATE_HOST_CONTROL_BODY = 8 << 20,
-    STATE_HOST_CONTROL_BODIES = 8 << 20,
-    STATE_HOST_CONTROL_MS = 30000
+    STATE_HOST_CONTROL_HEAD_BYTES = 16 << 10,
+    STATE_HOST_CONTROL_BODY_BYTES = 8 << 20,
+    STATE_HOST_CONTROL_TOTAL_BODY_BYTES = 8 << 20,
+    STATE_HOST_CONTROL_TIMEOUT_MS = 30000
 };
 
 struct state_host *state_host_open(struct node *node)
@@ -21,13 +21,13 @@
     host->node = node;
     host->watchers.refer_above = (uint32_t)node->settings.refer_above;
 
-    uint32_t fresh = (uint32_t)(node->boot_id >> 32) | 1;
-    if (!identity_load(node->settings.data, fresh, &host->identity)) {
-        event_log("disk_failed", "{s:s}", "error", "the identity cannot be read or written");
+    uint32_t new_node_id = (uint32_t)(node->boot_id >> 32) | 1;
+    if (!identity_load(node->settings.data, new_node_id, &host->identity)) {
+        event_log("disk_failed", "{s:s}", "error", "cannot load or create the identity file");
         free(host);
         return NULL;
     }
-    if (host->identity.formed) {
+    if (host->identity.has_group) {
         if (!state_host_open_replica(host)) {
             free(host);
             return NULL;
@@ -39,28 +39,29 @@
 
 static void host_on_call(void *context, struct http_call *call)
 {
-    control_api_handle(context, call);
+    operator_api_handle(context, call);
 }
 
-/* control_api.c keeps its state in `owner`. */
-static void host_on_gone(void *context, struct http_call *call)
+/* `owner` points to a struct operator_request (operator_api.c), whose first member points back to the call. */
+static void host_on_disconnect(void *context, struct http_call *call)
 {
     (void)context;
-    struct http_call **back = call->owner;
-    if (back != NULL) {
-        *back = NULL;
+    struct http_call **owner_call = call->owner;
+    if (owner_call != NULL) {
+        *owner_call = NULL;
     }
 }
 
 bool state_host_listen(struct state_host *host)
 {
-    static const struct http_limits limits = {STATE_HOST_CONTROL_HEAD, STATE_HOST_CONTROL_BODY, STATE_HOST_CONTROL_MS,
-                                              STATE_HOST_CONTROL_MS, STATE_HOST_CONTROL_BODIES};
+    static const struct http_limits limits = {STATE_HOST_CONTROL_HEAD_BYTES, STATE_HOST_CONTROL_BODY_BYTES,
+                                              STATE_HOST_CONTROL_TIMEOUT_MS, STATE_HOST_CONTROL_TIMEOUT_MS,
+                                              STATE_HOST_CONTROL_TOTAL_BODY_BYTES};
     struct address address;
     if (!address_parse(host->node->settings.control_address, &address)) {
         return true;
     }
-    struct http_handler handler = {.context = host, .request = host_on_call, .gone = host_on_gone};
+    struct http_handler handler = {.context = host, .request = host_on_call, .disconnected = host_on_disconnect};
     int result = http_listener_start(&host->control, &host->node->loop, &address, &handler, &limits);
     host->serves_control = result == 0;
     if (result != 0) {
@@ -87,9 +88,9 @@
     }
 }
 
-/* ---- Roles --------------------------------------------------------------------------------------- */
+/* ---- Role ---------------------------------------------------------------------------------------- */
 
-bool state_host_leads(const struct state_host *host)
+bool state_host_is_leader(const struct state_host *host)
 {
     return host->running && raft_is_leader(&host->replica.groups[STATE_CONFIG_GROUP].raft);
 }
@@ -104,7 +105,7 @@
     return host->running ? &host->replica.groups[STATE_CONFIG_GROUP].raft.members : NULL;
 }
 
-/* Entries are counted from 1 here: those that the log begins with have index 0. */
+/* dialled_index is the log index plus 1: the log's initial members have index 0, while 0 means none. */
 static void host_dial_members(struct state_host *host)
 {
     uint64_t index = host->replica.groups[STATE_CONFIG_GROUP].raft.members_index + 1;
@@ -114,70 +115,72 @@
     }
 }
 
-bool state_host_hand_over(struct state_host *host)
+bool state_host_transfer_leadership(struct state_host *host)
 {
     return host->running && replica_transfer_all(&host->replica, node_now(host->node));
 }
 
-void state_host_peer_lost(struct state_host *host, uint32_t peer)
+void state_host_peer_disconnected(struct state_host *host, uint32_t peer)
 {
     if (host->running) {
-        replica_peer_lost(&host->replica, node_now(host->node), peer);
+        replica_peer_disconnected(&host->replica, node_now(host->node), peer);
     }
 }
 
-static void host_report_role(struct state_host *host)
+static void host_update_role(struct state_host *host)
 {
     const struct raft *raft = &host->replica.groups[STATE_CONFIG_GROUP].raft;
     bool leads = raft_is_leader(raft);
-    if (raft->leader == host->told_leader && leads == host->told_leading) {
+    if (raft->leader == host->logged_leader && leads == host->logged_is_leader) {
         return;
     }
-    host->told_leader = raft->leader;
-    host->told_leading = leads;
+    host->logged_leader = raft->leader;
+    host->logged_is_leader = leads;
     quota_table_clear(&host->quotas, node_now(host->node));
     quota_table_clear(&host->slow_starts.tokens, node_now(host->node));
-    presence_clear(&host->presence); /* silence is counted from the first report to this leader */
+    presence_clear(&host->presence); /* this leader counts a gateway as silent only after a first report to it */
     event_log("leader_changed", "{s:I,s:b,s:I,s:I}", "leader", (json_int_t)raft->leader, "own", leads, "term",
               (json_int_t)raft->term, "commit", (json_int_t)raft->commit);
 }
 
 /* ---- Memory ------------------------------------------------------------------------------------------ */
 
-/* Bytes that a holder has, and its share. */
-typedef struct host_holding_t {
+typedef struct host_memory_usage_t {
     const char *name;
-    size_t held;
-    size_t share;
-} host_holding_t;
+    size_t used_bytes;
+    size_t limit_bytes; /* 0: no limit */
+} host_memory_usage_t;
 
-static host_holding_t host_holding(const struct state_host *host, state_host_holder_t holder)
+static host_memory_usage_t host_memory_usage(const struct state_host *host, state_host_memory_kind_t kind)
 {
     const memory_budget_t *memory = &host->node->memory;
     const struct replica_group *group = &host->replica.groups[STATE_CONFIG_GROUP];
-    host_holding_t holding = {0};
-    switch (holder) {
-    case STATE_HOST_LOG: holding = (host_holding_t){"log", group->raft.log.bytes, memory->log_most}; break;
-    case STATE_HOST_STATE:
-        holding = (host_holding_t){"state", site_state_bytes(&group->machine.site), memory->state};
+    host_memory_usage_t usage = {0};
+    switch (kind) {
+    case STATE_HOST_MEMORY_LOG: usage = (host_memory_usage_t){"log", group->raft.log.bytes, memory->log_max}; break;
+    case STATE_HOST_MEMORY_STATE:
+        usage = (host_memory_usage_t){"state", site_state_bytes(&group->machine.site), memory->state};
         break;
-    case STATE_HOST_QUEUES: holding = (host_holding_t){"queues", host->node->links.queued, memory->queues}; break;
-    case STATE_HOST_HOLDERS: break;
+    case STATE_HOST_MEMORY_QUEUES:
+        usage = (host_memory_usage_t){"queues", host->node->links.queued_bytes, memory->queues};
+        break;
+    case STATE_HOST_MEMORY_KINDS: break;
     }
-    return holding;
+    return usage;
 }
 
-/* One line when a share is full, and one when a quarter of it is free again. */
-static void host_report_memory(struct state_host *host)
+/* Hysteresis: a kind that was logged as full counts as full until a quarter of its limit is free. */
+static void host_log_memory(struct state_host *host)
 {
-    for (int i = 0; i < STATE_HOST_HOLDERS; i++) {
-        host_holding_t holding = host_holding(host, (state_host_holder_t)i);
-        size_t room = holding.share / 4;
-        bool full = holding.share > 0 && holding.held >= holding.share - (host->told_full[i] ? room : 0);
-        if (full != host->told_full[i]) {
-            host->told_full[i] = full;
-            event_log(full ? "memory_full" : "memory_regained", "{s:s,s:I,s:I,s:I}", "holder", holding.name,
-                      "held_bytes", (json_int_t)holding.held, "share_bytes", (json_int_t)holding.share, "refused",
+    for (int i = 0; i < STATE_HOST_MEMORY_KINDS; i++) {
+        host_memory_usage_t usage = host_memory_usage(host, (state_host_memory_kind_t)i);
+        size_t margin = usage.limit_bytes / 4;
+        bool full =
+            usage.limit_bytes > 0 && usage.used_bytes >= usage.limit_bytes - (host->logged_full[i] ? margin : 0);
+        if (full != host->logged_full[i]) {
+            host->logged_full[i] = full;
+            event_log(full ? "memory_full" : "memory_regained", "{s:s,s:I,s:I,s:I}", "holder", usage.name, "held_bytes",
+                      (json_int_t)usage.used_bytes, "share_bytes", (json_int_t)usage.limit_bytes, "refused",
                       (json_int_t)host->replica.counters.refused);
         }
     }
@@ -189,14 +192,14 @@
                        "# TYPE bankbank_memory_held_bytes gauge\n"
                        "# HELP bankbank_memory_share_bytes Most memory of a holder, 0: no bound.\n"
                        "# TYPE bankbank_memory_share_bytes gauge\n");
-    for (int i = 0; i < STATE_HOST_HOLDERS; i++) {
-        host_holding_t holding = host_holding(host, (state_host_holder_t)i);
-        buffer_printf(out, "bankbank_memory_held_bytes{holder=\"%s\"} %zu\n", holding.name, holding.held);
-        buffer_printf(out, "bankbank_memory_share_bytes{holder=\"%s\"} %zu\n", holding.name, holding.share);
+    for (int i = 0; i < STATE_HOST_MEMORY_KINDS; i++) {
+        host_memory_usage_t usage = host_memory_usage(host, (state_host_memory_kind_t)i);
+        buffer_printf(out, "bankbank_memory_held_bytes{holder=\"%s\"} %zu\n", usage.name, usage.used_bytes);
+        buffer_printf(out, "bankbank_memory_share_bytes{holder=\"%s\"} %zu\n", usage.name, usage.limit_bytes);
     }
 }
 
-/* ---- Time -------------------------------------------------------------------------------------------- */
+/* ---- Periodic work ----------------------------------------------------------------------------------- */
 
 void state_host_tick(struct state_host *host)
 {
@@ -206,36 +209,36 @@
         state_host_try_bootstrap(host);
     }
     if (!host->running) {
-        state_host_ask_to_join(host);
+        state_host_request_join(host);
         return;
     }
     replica_tick(&host->replica, now_ms);
-    host_report_role(host);
-    host_report_memory(host);
+    host_update_role(host);
+    host_log_memory(host);
     if (state_host_leader(host) != RAFT_NO_NODE) {
-        host->led_ms = now_ms;
-    } else if (now_ms >= host->led_ms + STATE_HOST_LOST_MS) {
-        state_host_ask_to_join(host);
+        host->leader_seen_ms = now_ms;
+    } else if (now_ms >= host->leader_seen_ms + STATE_HOST_NO_LEADER_TIMEOUT_MS) {
+        state_host_request_join(host);
     }
 }
 
-/* ---- What is known of the site --------------------------------------------------------------------- */
+/* ---- State of the site ----------------------------------------------------------------------------- */
 
-void state_host_take_servers(struct state_host *host, struct view encoded)
+void state_host_apply_servers(struct state_host *host, struct view encoded)
 {
     struct node *node = host->node;
-    if (!state_host_leads(host)) {
+    if (!state_host_is_leader(host)) {
         return;
     }
     uint64_t term = host->replica.groups[STATE_CONFIG_GROUP].raft.term;
     bool own_term = term == node->state.servers_term;
     uint64_t before = node->state.servers.change;
-    server_list_put(&node->state.servers, encoded);
+    server_list_replace(&node->state.servers, encoded);
     bool same = node->state.servers.change == before;
     if (same && own_term) {
         return;
     }
-    /* A new leader's first list has a version of its own also where nothing changed: watchers take what is newer. */
+    /* A new leader's first list gets a new version even if it is unchanged: watchers accept only newer versions. */
     node->state.servers_number = own_term ? node->state.servers_number + 1 : 1;
     node->state.servers_term = term;
     event_log("servers_read", "{s:I,s:I,s:I,s:b}", "term", (json_int_t)term, "number",
@@ -247,8 +250,8 @@
     node_state_changed(node, changes);
 }
 
-/* Copies what the replica applied to where watchers are told from. */
-static struct watch_changes host_mirror(struct state_host *host)
+/* Copies the applied state to node->state, from which watchers are updated. */
+static struct watch_changes host_publish_state(struct state_host *host)
 {
     const struct replica_group *group = &host->replica.groups[STATE_CONFIG_GROUP];
     const struct site_document *document = &group->machine.site.document;
@@ -260,12 +263,12 @@
                   (json_int_t)group->raft.applied);
     }
     DrainedZones drained;
-    zone_set_tell(&group->machine.site.drained, &drained);
-    changes.drained = zone_set_take(&state->drained, &drained);
+    zone_set_export(&group->machine.site.drained, &drained);
+    changes.drained = zone_set_update(&state->drained, &drained);
     if (changes.drained) {
         node_log_drained(host->node, "zones_applied");
     }
-    /* Index 0 is the begin of the log; watchers count from 1. */
+    /* The log's initial members have index 0; watchers count from 1. */
     uint64_t members_index = group->raft.members_index + 1;
     if (group->raft.members_index <= group->raft.commit && members_index > state->members_index) {
         state->members_index = members_index;
@@ -277,11 +280,11 @@
     return changes;
 }
 
-void state_host_settle(struct state_host *host)
+void state_host_before_wait(struct state_host *host)
 {
     struct node *node = host->node;
     if (!host->running) {
-        state_host_tell_owed(host); /* it may relay what it is told */
+        state_host_send_updates(host); /* a replica outside the group may be a relay */
         return;
     }
     replica_flush(&host->replica, node_now(node));
@@ -290,11 +293,11 @@
         return;
     }
     host_dial_members(host);
-    struct watch_changes changes = host_mirror(host);
+    struct watch_changes changes = host_publish_state(host);
     if (changes.document || changes.drained || changes.members) {
         node_state_changed(node, changes);
     }
-    state_host_tell_owed(host);
+    state_host_send_updates(host);
 }
 
 void state_host_write_metrics(const struct state_host *host, struct buffer *out)
@@ -321,7 +324,8 @@
     metrics_write_counter(out, "memory_refused_total", "Proposals refused for want of memory.", counters->refused);
     metrics_write_counter(out, "link_frames_refused_total", "Frames for which the queues to peers had no room.",
                           host->node->links.frames_refused);
-    metrics_write_counter(out, "watch_wholes_total", "Whole lists of servers told to watchers.", host->watchers.wholes);
+    metrics_write_counter(out, "watch_wholes_total", "Whole lists of servers told to watchers.",
+                          host->watchers.full_lists_sent);
     metrics_write_gauge(out, "turns_stored", "Turns stored.", HASH_COUNT(group->machine.site.turns.turns));
     metrics_write_gauge(out, "turn_bytes", "Bytes of turns stored.", group->machine.site.turns.bytes);
     metrics_write_gauge(out, "programs_budgeted", "Programs with a budget.",
--- a/src/proxy/state_host_daemons.c
+++ b/src/proxy/state_host_daemons.c
@@ -1,4 +1,4 @@
-/* What other daemons ask of a replica's host: watches, loads, quotas. */
+/* State replica: requests of other daemons (watches, load reports, quotas). */
 #include <stdlib.h>
 #include <string.h>
 
@@ -9,77 +9,78 @@
 #include "proxy/state_host_internal.h"
 
 enum {
-    HOST_RELAY_FRESH_MS = 1000, /* age of a member's word that a relay passes on as current */
+    HOST_RELAY_MAX_AGE_MS = 1000, /* age up to which a relay forwards a member's state as fresh */
 };
 
 /* ---- Watches ---------------------------------------------------------------------------------------- */
 
-/* A relay's word is that of the member which it watches, as old as the answer. */
+/* A relay is fresh if the member that it watches recently replied that it is. */
 static bool host_is_fresh(const struct state_host *host, uint64_t now_ms)
 {
     return host->running ? replica_is_fresh(&host->replica, STATE_CONFIG_GROUP, now_ms)
-                         : watch_client_is_fresh(&host->node->watch, now_ms, HOST_RELAY_FRESH_MS);
+                         : watch_client_is_fresh(&host->node->watch, now_ms, HOST_RELAY_MAX_AGE_MS);
 }
 
-/* Members follow their leader: they are referred to nobody. */
-static void host_refer(struct state_host *host, struct watch_entry *entry, WatchUpdate *update)
+/* Refers a watcher to a relay if there are too many watchers. Group members are not referred: they must watch their
+ * leader. */
+static void host_refer_watcher(struct state_host *host, struct watch_entry *entry, WatchUpdate *update)
 {
     const struct raft_members *members = state_host_logged_members(host);
     if (members == NULL || raft_member_position(members, entry->node) >= 0) {
         return;
     }
-    uint32_t relay = watch_server_refer(&host->watchers, entry, node_now(host->node));
-    struct raft_member_place place;
-    if (relay != RAFT_NO_NODE && links_place(&host->node->links, relay, &place)) {
+    uint32_t relay = watch_server_choose_relay(&host->watchers, entry, node_now(host->node));
+    struct raft_member_location location;
+    if (relay != RAFT_NO_NODE && links_replica_location(&host->node->links, relay, &location)) {
         update->has_relay = true;
-        update->relay = (Member){.node = relay, .ip = place.ip, .port = place.port};
+        update->relay = (Member){.node = relay, .ip = location.ip, .port = location.port};
     }
 }
 
-static void host_tell_watcher(struct state_host *host, struct watch_entry *entry, uint64_t sequence)
+static void host_send_update(struct state_host *host, struct watch_entry *entry, uint64_t sequence)
 {
     struct node *node = host->node;
     uint64_t now_ms = node_now(node);
-    watch_told_t told = {0};
-    WatchUpdate *update = &told.update;
+    watch_outgoing_t outgoing = {0};
+    WatchUpdate *update = &outgoing.update;
     update->sequence = sequence;
     update->fresh = host_is_fresh(host, now_ms);
     update->leader = host->running ? state_host_leader(host) : node->watch.leader;
     update->age_ms = host->running ? 0 : (uint32_t)(now_ms - node->watch.fresh_ms);
-    told.answers = sequence != 0;
-    host_refer(host, entry, update);
+    outgoing.is_reply = sequence != 0;
+    host_refer_watcher(host, entry, update);
     update->watchers = watch_server_count(&host->watchers, now_ms);
-    watch_server_tell(&host->watchers, entry, now_ms, &node->state, &told);
-    Frame frame = {.which_payload = Frame_watch_update_tag, .payload.watch_update = told.update};
+    watch_server_fill_update(&host->watchers, entry, now_ms, &node->state, &outgoing);
+    Frame frame = {.which_payload = Frame_watch_update_tag, .payload.watch_update = outgoing.update};
     node_send_frame(node, entry->node, &frame);
-    watch_told_close(&told);
+    watch_outgoing_close(&outgoing);
 }
 
-void state_host_tell_owed(struct state_host *host)
+void state_host_send_updates(struct state_host *host)
 {
     struct node *node = host->node;
     uint64_t now_ms = node_now(node);
     bool fresh = host_is_fresh(host, now_ms);
     for (uint32_t i = 0; i < host->watchers.count; i++) {
         struct watch_entry *entry = &host->watchers.entries[i];
-        if (watch_server_owes(&host->watchers, entry, now_ms, &node->state, fresh)) {
-            host_tell_watcher(host, entry, 0);
+        if (watch_server_has_update(&host->watchers, entry, now_ms, &node->state, fresh)) {
+            host_send_update(host, entry, 0);
         }
     }
 }
 
-/* A replica that belongs to no group passes on what it has learnt, so that who knows only the seeds finds the members
- * also where those are other machines. */
+/* Replicas outside the group accept watches as well: daemons that know only the seeds find the members even if no seed
+ * is a member any more. */
 static void host_handle_watch(struct state_host *host, uint32_t from, const Watch *watch)
 {
-    struct watch_entry *entry = watch_server_note(&host->watchers, node_now(host->node), from, watch);
+    struct watch_entry *entry = watch_server_record_watch(&host->watchers, node_now(host->node), from, watch);
     if (entry != NULL) {
-        host_tell_watcher(host, entry, watch->sequence);
+        host_send_update(host, entry, watch->sequence);
     }
 }
 
-/* Who belongs to no group can say at once that another one must be asked. */
-static void host_answer_outside(struct state_host *host, uint32_t from, const Request *request)
+/* For a replica outside the group: the reply makes the client try another one at once. */
+static void host_reply_as_non_member(struct state_host *host, uint32_t from, const Request *request)
 {
     Frame frame = {0};
     Reply *reply = &frame.payload.reply;
@@ -90,22 +91,22 @@
     node_send_frame(host->node, from, &frame);
 }
 
-/* ---- Loads ------------------------------------------------------------------------------------------ */
+/* ---- Load reports ----------------------------------------------------------------------------------- */
 
-/* Adds a gateway's load, and tells it those of the others and which gateways are silent. */
-static void host_handle_load(struct state_host *host, uint32_t from, const LoadReport *report)
+/* Replies with the load of the other gateways and the number of silent ones. */
+static void host_handle_load_report(struct state_host *host, uint32_t from, const LoadReport *report)
 {
     uint64_t now_ms = node_now(host->node);
-    if (!state_host_leads(host)) {
+    if (!state_host_is_leader(host)) {
         return;
     }
     Frame frame = {0};
     frame.which_payload = Frame_load_totals_tag;
     load_table_report(&host->loads, now_ms, from, report);
-    load_table_fade(&host->loads, now_ms);
+    load_table_expire(&host->loads, now_ms);
     load_table_answer(&host->loads, now_ms, from, &frame.payload.load_totals);
-    presence_hear(&host->presence, now_ms, report);
-    presence_fade(&host->presence, now_ms);
+    presence_record_report(&host->presence, now_ms, report);
+    presence_expire(&host->presence, now_ms);
     presence_count(&host->presence, now_ms, report->zone, &frame.payload.load_totals);
     node_send_frame(host->node, from, &frame);
     free(frame.payload.load_totals.loads);
@@ -113,10 +114,10 @@
 
 /* ---- Quotas ----------------------------------------------------------------------------------------- */
 
-/* Settings come in thousandths. */
-static const double HOST_PER_ONE = 1000;
+/* Fixed-point factor of settings: durations are in ms, overshoots in thousandths. */
+static const double HOST_SETTINGS_SCALE = 1000;
 
-/* The configuration that is in force, read anew when it has changed; NULL: there is none. */
+/* The current configuration, parsed after each change; NULL: none. */
 static const struct route_table *host_routes(struct state_host *host)
 {
     const struct watch_state *state = &host->node->state;
@@ -133,30 +134,30 @@
                              QuotaGrant *grant)
 {
     const struct node_settings *settings = &host->node->settings;
-    host->quotas.bounds = (quota_bounds_t){
-        .window_s = (double)settings->quota_window_ms / HOST_PER_ONE,
-        .overshoot = (double)settings->quota_overshoot / HOST_PER_ONE,
+    host->quotas.tolerance = (quota_tolerance_t){
+        .window_s = (double)settings->quota_window_ms / HOST_SETTINGS_SCALE,
+        .overshoot = (double)settings->quota_overshoot / HOST_SETTINGS_SCALE,
         .slack = (double)settings->quota_slack,
     };
     quota_table_answer(&host->quotas, node_now(host->node), routes, ask, grant);
 }
 
-static void host_grant_starts(struct state_host *host, const struct route_table *routes, const QuotaAsk *ask,
-                              QuotaGrant *grant)
+static void host_grant_slow_start(struct state_host *host, const struct route_table *routes, const QuotaAsk *ask,
+                                  QuotaGrant *grant)
 {
     const struct node_settings *settings = &host->node->settings;
-    slow_start_bounds_t bounds = {
-        .overshoot = (double)settings->start_overshoot / HOST_PER_ONE,
+    slow_start_tolerance_t tolerance = {
+        .overshoot = (double)settings->start_overshoot / HOST_SETTINGS_SCALE,
         .slack = (double)settings->start_slack,
     };
-    slow_start_answer(&host->slow_starts, node_now(host->node), routes, &bounds, ask, grant);
+    slow_start_answer(&host->slow_starts, node_now(host->node), routes, &tolerance, ask, grant);
 }
 
-/* Only a leader that hears a quorum gives tokens: another one may give them otherwise. */
-static void host_handle_ask(struct state_host *host, uint32_t from, const Request *request)
+/* Only a leader in contact with a quorum grants requests: otherwise a newer leader might grant the same ones. */
+static void host_handle_quota_request(struct state_host *host, uint32_t from, const Request *request)
 {
     uint64_t now_ms = node_now(host->node);
-    bool leads = state_host_leads(host) && host_is_fresh(host, now_ms);
+    bool leads = state_host_is_leader(host) && host_is_fresh(host, now_ms);
     const struct route_table *routes = leads ? host_routes(host) : NULL;
     Frame frame = {.which_payload = Frame_reply_tag};
     Reply *reply = &frame.payload.reply;
@@ -170,7 +171,7 @@
         if (request->kind == REQUEST_QUOTA) {
             host_grant_quota(host, routes, &ask, &grant);
         } else {
-            host_grant_starts(host, routes, &ask, &grant);
+            host_grant_slow_start(host, routes, &ask, &grant);
         }
         message_encode(&body, QuotaGrant_fields, &grant);
         free(grant.shares);
@@ -194,7 +195,7 @@
 
 void state_host_write_quotas(const struct state_host *host, struct buffer *out)
 {
-    uint32_t told = 0;
+    uint32_t written = 0;
     metrics_write_counter(out, "quota_granted_total", "Requests granted to tenants with a limit.",
                           host->quotas.granted);
     metrics_write_counter(out, "quota_refused_total", "Requests refused for a tenant's limit.", host->quotas.refused);
@@ -206,8 +207,8 @@
                           host->slow_starts.tokens.refused);
     for (const quota_bucket_t *bucket = host->quotas.buckets; bucket != NULL; bucket = bucket->hh.next) {
         const char *name = host_tenant_name(host, bucket->tenant);
-        bool plain = name != NULL && strpbrk(name, "\"\\\n") == NULL;
-        if (!plain || told++ >= STATE_HOST_TENANTS_TOLD) {
+        bool label_safe = name != NULL && strpbrk(name, "\"\\\n") == NULL;
+        if (!label_safe || written++ >= STATE_HOST_MAX_TENANT_METRICS) {
             continue;
         }
         buffer_printf(out, "bankbank_tenant_quota_level{tenant=\"%s\"} %.1f\n", name, bucket->level);
@@ -218,16 +219,17 @@
     }
 }
 
-/* ---- Levels ------------------------------------------------------------------------------------------ */
+/* ---- Feature levels ---------------------------------------------------------------------------------- */
 
-/* A member of an earlier version would pass such an entry over, and then lead without it. */
-static bool host_knows_all_levels(const struct state_host *host)
+/* Members of an earlier version skip entries of an unknown kind, and could become leader without having applied them.
+ * Only connected members are checked. */
+static bool host_members_support_level(const struct state_host *host)
 {
     const struct raft_members *members = state_host_logged_members(host);
-    return links_least_level(&host->node->links, members->nodes, members->count) >= LINKS_LEVEL;
+    return links_min_feature_level(&host->node->links, members->nodes, members->count) >= LINKS_FEATURE_LEVEL;
 }
 
-static void host_answer_too_new(struct state_host *host, uint32_t from, const Request *request)
+static void host_reject_unsupported(struct state_host *host, uint32_t from, const Request *request)
 {
     Frame frame = {.which_payload = Frame_reply_tag};
     frame.payload.reply.id = request->id;
@@ -239,7 +241,7 @@
 
 /* ---- Frames ------------------------------------------------------------------------------------------ */
 
-static bool host_is_ask(const Frame *frame)
+static bool host_is_quota_request(const Frame *frame)
 {
     RequestKind kind = frame->payload.request.kind;
     return frame->which_payload == Frame_request_tag && (kind == REQUEST_QUOTA || kind == REQUEST_SLOW_START);
@@ -250,15 +252,15 @@
     return frame->which_payload == Frame_request_tag && frame->payload.request.kind == REQUEST_PROPOSE_NEW;
 }
 
-/* A replica that does not lead answers so, whatever is proposed. */
+/* The leader accepts an entry of a new kind only if the members support it; others handle it as any proposal. */
 static void host_handle_new_proposal(struct state_host *host, uint32_t from, const Frame *frame)
 {
-    Frame plain = *frame;
-    plain.payload.request.kind = REQUEST_PROPOSE;
-    if (state_host_leads(host) && !host_knows_all_levels(host)) {
-        host_answer_too_new(host, from, &frame->payload.request);
+    Frame proposal = *frame;
+    proposal.payload.request.kind = REQUEST_PROPOSE;
+    if (state_host_is_leader(host) && !host_members_support_level(host)) {
+        host_reject_unsupported(host, from, &frame->payload.request);
     } else {
-        replica_receive(&host->replica, node_now(host->node), from, &plain);
+        replica_receive(&host->replica, node_now(host->node), from, &proposal);
     }
 }
 
@@ -266,17 +268,17 @@
 {
     if (host->running && host_is_new_proposal(frame)) {
         host_handle_new_proposal(host, from, frame);
-    } else if (host->running && host_is_ask(frame)) {
-        host_handle_ask(host, from, &frame->payload.request);
+    } else if (host->running && host_is_quota_request(frame)) {
+        host_handle_quota_request(host, from, &frame->payload.request);
     } else if (frame->which_payload == Frame_load_report_tag) {
-        host_handle_load(host, from, &frame->payload.load_report);
+        host_handle_load_report(host, from, &frame->payload.load_report);
     } else if (frame->which_payload == Frame_watch_tag) {
         host_handle_watch(host, from, &frame->payload.watch);
     } else if (host->running) {
         replica_receive(&host->replica, node_now(host->node), from, frame);
     } else if (frame->which_payload == Frame_request_tag) {
-        host_answer_outside(host, from, &frame->payload.request);
+        host_reply_as_non_member(host, from, &frame->payload.request);
     } else if (frame->which_payload == Frame_raft_tag) {
-        host->join_due_ms = 0; /* a leader counts it among the members already */
+        host->join_due_ms = 0; /* the leader already has this replica as a member: join at once */
     }
 }
--- a/src/proxy/state_host_disk.c
+++ b/src/proxy/state_host_disk.c
@@ -1,4 +1,4 @@
-/* A replica's effects on disk and network, and how it is opened. */
+/* State replica: opening, storage and network callbacks. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -12,13 +12,13 @@
 
 enum {
     STATE_HOST_SNAPSHOT_ENTRIES = 16384,
-    STATE_HOST_SNAPSHOT_SPREAD = 4096,                   /* replicas take their snapshots apart from each other */
-    STATE_HOST_SLOW_DISK_MS = STATE_HOST_ELECTION_MS / 2 /* a wait that may cost the replica its leadership */
+    STATE_HOST_SNAPSHOT_STAGGER_ENTRIES = 4096, /* spread by node id, so that replicas do not take snapshots together */
+    STATE_HOST_SLOW_DISK_MS = STATE_HOST_ELECTION_TIMEOUT_MS / 2 /* longer waits are logged; a leader may be deposed */
 };
 
-/* ---- The replica's effects --------------------------------------------------------------- */
+/* ---- Callbacks of the replica ------------------------------------------------------------ */
 
-/* A disk that fails ends the process: it starts again from what is synced. */
+/* Stops the process: after a restart it continues from what was synced. */
 static void host_disk_failed(struct state_host *host)
 {
     const char *error = host->log.failed ? host->log.error : host->texts.error;
@@ -27,7 +27,7 @@
     node_stop(host->node);
 }
 
-static void host_report_blocked(struct state_host *host, bool blocked)
+static void host_log_blocked(struct state_host *host, bool blocked)
 {
     if (blocked != host->disk_blocked) {
         host->disk_blocked = blocked;
@@ -36,30 +36,30 @@
     }
 }
 
-/* The replica does nothing else while it waits for its disk: what is refused or late beside it came of that. */
-static void host_note_disk_wait(struct state_host *host, const char *what, uint64_t begun_ms, uint64_t bytes)
+/* The event loop is blocked during the wait. The log line explains requests that were refused or delayed by it. */
+static void host_record_disk_wait(struct state_host *host, const char *what, uint64_t started_ms, uint64_t bytes)
 {
-    uint64_t took_ms = clock_monotonic_ms() - begun_ms;
-    host->disk_wait_ms += took_ms;
-    if (took_ms >= STATE_HOST_SLOW_DISK_MS) {
-        event_log("disk_slow", "{s:s,s:I,s:I,s:b}", "what", what, "took_ms", (json_int_t)took_ms, "bytes",
-                  (json_int_t)bytes, "leads", state_host_leads(host));
+    uint64_t duration_ms = clock_monotonic_ms() - started_ms;
+    host->disk_wait_ms += duration_ms;
+    if (duration_ms >= STATE_HOST_SLOW_DISK_MS) {
+        event_log("disk_slow", "{s:s,s:I,s:I,s:b}", "what", what, "took_ms", (json_int_t)duration_ms, "bytes",
+                  (json_int_t)bytes, "leads", state_host_is_leader(host));
     }
 }
 
-static enum replica_sync host_on_sync(void *context)
+static enum replica_sync_result host_on_sync(void *context)
 {
     struct state_host *host = context;
-    uint64_t begun_ms = clock_monotonic_ms();
+    uint64_t started_ms = clock_monotonic_ms();
     uint64_t bytes = host->log.pending.length;
     bool synced = log_store_sync(&host->log);
-    host_note_disk_wait(host, "log", begun_ms, bytes);
+    host_record_disk_wait(host, "log", started_ms, bytes);
     uv_update_time(&host->node->loop);
     if ((!synced && host->log.failed) || host->texts.failed) {
         host_disk_failed(host);
         return REPLICA_SYNC_FAILED;
     }
-    host_report_blocked(host, !synced);
+    host_log_blocked(host, !synced);
     return synced ? REPLICA_SYNC_DONE : REPLICA_SYNC_BLOCKED;
 }
 
@@ -68,16 +68,16 @@
     struct state_host *host = context;
     event_log("snapshot_begins", "{s:I,s:I,s:I}", "index", (json_int_t)snapshot->index, "log_bytes",
               (json_int_t)host->replica.groups[group].raft.log.bytes, "resident_bytes",
-              (json_int_t)process_memory_resident());
+              (json_int_t)process_resident_bytes());
     return log_store_snapshot_begin(&host->log, group, snapshot);
 }
 
-/* Texts first: a stored snapshot names only texts that are on the disk. */
+/* Texts are synced first: a stored snapshot may refer only to durable texts. */
 static bool host_on_snapshot_commit(void *context, uint32_t group, bool reset_log)
 {
     struct state_host *host = context;
-    const snapshot_stored_t *stored = &host->log.groups[group].stored;
-    uint64_t begun_ms = clock_monotonic_ms();
+    const snapshot_file_t *stored = &host->log.groups[group].stored;
+    uint64_t started_ms = clock_monotonic_ms();
     bool texts_synced = history_store_sync(&host->texts);
     bool saved = texts_synced && log_store_snapshot_commit(&host->log, group, reset_log);
     if (!texts_synced) {
@@ -86,11 +86,11 @@
     if (host->log.failed || host->texts.failed) {
         host_disk_failed(host);
     }
-    host_note_disk_wait(host, "snapshot", begun_ms, stored->state_length);
+    host_record_disk_wait(host, "snapshot", started_ms, stored->state_length);
     event_log("snapshot", "{s:I,s:I,s:b,s:b,s:I,s:I}", "index", (json_int_t)stored->snapshot.index, "bytes",
               (json_int_t)stored->state_length, "saved", saved, "received", reset_log, "log_bytes",
               (json_int_t)host->replica.groups[group].raft.log.bytes, "resident_bytes",
-              (json_int_t)process_memory_resident());
+              (json_int_t)process_resident_bytes());
     uv_update_time(&host->node->loop);
     return saved;
 }
@@ -100,30 +100,30 @@
     node_send(((struct state_host *)context)->node, to, frame);
 }
 
-static void host_on_push(void *context)
+static void host_on_flush_output(void *context)
 {
     links_flush(&((struct state_host *)context)->node->links);
 }
 
 /* ---- Opening ----------------------------------------------------------------------------- */
 
-/* Written before anything is read: a process that ends while it reads its state back leaves this line. */
-static void host_report_restore(const struct state_host *host)
+/* Flushed before the restore, in case the process dies in it, for example out of memory. */
+static void host_log_restore(const struct state_host *host)
 {
     uint64_t log_bytes = 0;
     uint64_t snapshot_bytes = 0;
-    log_store_measure(host->node->settings.data, &log_bytes, &snapshot_bytes);
+    log_store_disk_usage(host->node->settings.data, &log_bytes, &snapshot_bytes);
     event_log("restore_begins", "{s:I,s:I,s:I}", "log_bytes", (json_int_t)log_bytes, "snapshot_bytes",
-              (json_int_t)snapshot_bytes, "resident_bytes", (json_int_t)process_memory_resident());
+              (json_int_t)snapshot_bytes, "resident_bytes", (json_int_t)process_resident_bytes());
     event_log_flush();
 }
 
 static bool host_open_texts(struct state_host *host)
 {
-    char *folder = file_path(host->node->settings.data, "texts");
-    bool opened = history_store_open(&host->texts, folder);
-    free(folder);
-    host->texts.segment_bytes = STATE_HOST_TEXT_FILE_BYTES;
+    char *directory = file_path(host->node->settings.data, "texts");
+    bool opened = history_store_open(&host->texts, directory);
+    free(directory);
+    host->texts.segment_bytes = STATE_HOST_TEXT_SEGMENT_BYTES;
     if (!opened) {
         event_log("disk_failed", "{s:s}", "error", host->texts.error);
     }
@@ -137,17 +137,17 @@
         .node = host->identity.node,
         .groups = 1,
         .members = host->identity.members,
-        .election_timeout_ms = STATE_HOST_ELECTION_MS,
+        .election_timeout_ms = STATE_HOST_ELECTION_TIMEOUT_MS,
         .heartbeat_ms = STATE_HOST_HEARTBEAT_MS,
-        .lease_ms = STATE_HOST_ELECTION_MS,
+        .lease_ms = STATE_HOST_ELECTION_TIMEOUT_MS,
         .seed = host->node->boot_id,
-        .first_election_ms = STATE_HOST_FIRST_ELECTION_MS,
-        .snapshot_entries = STATE_HOST_SNAPSHOT_ENTRIES + host->identity.node % STATE_HOST_SNAPSHOT_SPREAD,
+        .short_election_timeout_ms = STATE_HOST_SHORT_ELECTION_TIMEOUT_MS,
+        .snapshot_entries = STATE_HOST_SNAPSHOT_ENTRIES + host->identity.node % STATE_HOST_SNAPSHOT_STAGGER_ENTRIES,
         .log_bytes = memory->log,
-        .log_bytes_most = memory->log_most,
-        .state_bytes = memory->state,
-        .self_organized = true,
-        .steady_stamps = true,
+        .max_log_bytes = memory->log_max,
+        .max_state_bytes = memory->state,
+        .auto_membership = true,
+        .monotonic_timestamps = true,
     };
     struct replica_io io = {
         .context = host,
@@ -155,11 +155,11 @@
         .snapshot_begin = host_on_snapshot_begin,
         .snapshot_commit = host_on_snapshot_commit,
         .send = host_on_send,
-        .push = host_on_push,
+        .flush_output = host_on_flush_output,
     };
-    replica_disk_fill(&io, &host->log);
+    replica_disk_set_callbacks(&io, &host->log);
     struct history_io history = history_store_io(&host->texts);
-    host_report_restore(host);
+    host_log_restore(host);
     if (!host_open_texts(host)) {
         return false;
     }
@@ -172,18 +172,17 @@
     return true;
 }
 
-/* The replica begins to run. */
 void state_host_start(struct state_host *host)
 {
     struct replica_group *group = &host->replica.groups[STATE_CONFIG_GROUP];
     struct raft *raft = &group->raft;
     host->running = true;
-    host->led_ms = node_now(host->node);
+    host->leader_seen_ms = node_now(host->node);
     replica_start(&host->replica, node_now(host->node));
     node_peers_changed(host->node);
     event_log("replica_started", "{s:I,s:I,s:I,s:I}", "id", (json_int_t)host->identity.node, "term",
               (json_int_t)raft->term, "last_index", (json_int_t)raft_last_index(raft), "members",
               (json_int_t)raft->members.count);
     event_log("restored", "{s:I,s:I,s:I}", "turns", (json_int_t)HASH_COUNT(group->machine.site.turns.turns),
-              "log_bytes", (json_int_t)raft->log.bytes, "resident_bytes", (json_int_t)process_memory_resident());
+              "log_bytes", (json_int_t)raft->log.bytes, "resident_bytes", (json_int_t)process_resident_bytes());
 }
--- a/src/sim/sim.c
+++ b/src/sim/sim.c
@@ -1,4 +1,4 @@
-/* The simulated world: nodes, time and faults. */
+/* Main loop of the simulation: nodes, virtual time and faults. */
 #include "sim/sim.h"
 
 #include <stdarg.h>
@@ -11,15 +11,15 @@
 #include "base/message.h"
 
 enum {
-    SIM_ELECTION_MS = 300,
+    SIM_ELECTION_TIMEOUT_MS = 300,
     SIM_HEARTBEAT_MS = 60,
     SIM_LEASE_MS = 1000,
     SIM_CLIENT_HEARTBEAT_MS = 200,
-    SIM_REQUEST_MS = 1500,
-    SIM_POST_MS = 3600000,
-    SIM_RESTORE_MS = 500, /* period of putting a removed replica back after the faults */
-    SIM_NOBODY = 2,       /* token of requests that no caller or operator waits for */
-    SIM_FAULT_PERCENT = 2 /* chance of a new fault in a step */
+    SIM_REQUEST_TIMEOUT_MS = 1500,
+    SIM_ASYNC_REQUEST_TIMEOUT_MS = 3600000,
+    SIM_MEMBER_RESTORE_PERIOD_MS = 500,
+    SIM_TOKEN_NO_WAITER = 2, /* matches no correlation id; not 0, which marks the control client's own requests */
+    SIM_FAULT_PERCENT = 2    /* chance of a new fault in a step */
 };
 
 /* ---- Helpers ------------------------------------------------------------------------ */
@@ -79,17 +79,17 @@
         .gateways = 3,
         .callers = 6,
         .operators = 2,
-        .chaos_ms = 8000,
-        .calm_ms = 12000,
+        .fault_phase_ms = 8000,
+        .settle_phase_ms = 12000,
         .faults = true,
         .snapshot_entries = seed % 3 == 0 ? 20 : 100,
     };
     return options;
 }
 
-/* ---- Invariants of the log ------------------------------------------------------------ */
+/* ---- Raft invariants ------------------------------------------------------------------ */
 
-/* All replicas must apply the same entry at the same index. */
+/* Checks that all replicas apply the same entry at the same index. */
 static void sim_check_applied(struct sim *sim, const struct sim_node *node, uint32_t group, uint64_t from, uint64_t to)
 {
     const struct raft *raft = &node->replica.groups[group].raft;
@@ -99,22 +99,23 @@
         }
         const struct raft_entry *entry = &raft->log.entries[index - raft->log.base_index - 1];
         uint64_t hash = XXH64(entry->data, entry->length, entry->term) | 1U;
-        if (index >= sim->applied_counts[group]) {
+        if (index >= sim->applied_capacities[group]) {
             size_t count = (size_t)index + 64;
             sim->applied_hashes[group] = memory_resize(sim->applied_hashes[group], count * sizeof(uint64_t));
-            memset(sim->applied_hashes[group] + sim->applied_counts[group], 0,
-                   (count - sim->applied_counts[group]) * sizeof(uint64_t));
-            sim->applied_counts[group] = count;
+            memset(sim->applied_hashes[group] + sim->applied_capacities[group], 0,
+                   (count - sim->applied_capacities[group]) * sizeof(uint64_t));
+            sim->applied_capacities[group] = count;
         }
-        uint64_t *known = &sim->applied_hashes[group][index];
-        if (*known != 0 && *known != hash) {
-            sim_fail(sim, "node %u applied another entry %llu in group %u", node->id, (unsigned long long)index, group);
+        uint64_t *applied_hash = &sim->applied_hashes[group][index];
+        if (*applied_hash != 0 && *applied_hash != hash) {
+            sim_fail(sim, "node %u applied a different entry at index %llu of group %u", node->id,
+                     (unsigned long long)index, group);
         }
-        *known = hash;
+        *applied_hash = hash;
     }
 }
 
-/* No term has two leaders. */
+/* Checks that a term has at most one leader. */
 static void sim_check_leader(struct sim *sim, const struct sim_node *node, uint32_t group)
 {
     const struct raft *raft = &node->replica.groups[group].raft;
@@ -125,7 +126,7 @@
     for (size_t i = count; i > 0; i--) {
         if (sim->leaders[group][i - 1].term == raft->term) {
             if (sim->leaders[group][i - 1].node != node->id) {
-                sim_fail(sim, "nodes %u and %u both lead group %u in term %llu", node->id,
+                sim_fail(sim, "nodes %u and %u are both leaders of group %u in term %llu", node->id,
                          sim->leaders[group][i - 1].node, group, (unsigned long long)raft->term);
             }
             return;
@@ -149,12 +150,12 @@
 static void sim_client_complete(void *context, void *token, ResultCode code, struct view body)
 {
     struct sim_node *node = context;
-    uint64_t ticket = (uint64_t)(uintptr_t)token;
-    sim_callers_complete(node->sim, ticket, code, body);
-    sim_operators_complete(node->sim, ticket, code, body);
+    uint64_t request_token = (uint64_t)(uintptr_t)token;
+    sim_callers_complete(node->sim, request_token, code, body);
+    sim_operators_complete(node->sim, request_token, code, body);
 }
 
-static void sim_client_config(void *context, const struct config_store *config)
+static void sim_client_ignore_config(void *context, const struct config_store *config)
 {
     (void)context;
     (void)config;
@@ -166,10 +167,10 @@
     struct replica_config config = {
         .node = node->id,
         .groups = sim->options.groups,
-        .election_timeout_ms = SIM_ELECTION_MS,
+        .election_timeout_ms = SIM_ELECTION_TIMEOUT_MS,
         .heartbeat_ms = SIM_HEARTBEAT_MS,
         .lease_ms = SIM_LEASE_MS,
-        .seed = sim->options.seed + node->boot * 1000,
+        .seed = sim->options.seed + node->boot_count * 1000,
         .snapshot_entries = sim->options.snapshot_entries,
     };
     for (uint32_t i = 0; i < sim->options.replicas; i++) {
@@ -188,7 +189,7 @@
     struct sim *sim = node->sim;
     struct control_client_config config = {
         .node = node->id,
-        .boot_id = node->boot * 1000 + node->id,
+        .boot_id = node->boot_count * 1000 + node->id,
         .groups = sim->options.groups,
         .replica_count = sim->options.replicas,
         .heartbeat_ms = SIM_CLIENT_HEARTBEAT_MS,
@@ -200,7 +201,7 @@
         .context = node,
         .send = sim_client_send,
         .complete = sim_client_complete,
-        .config_changed = sim_client_config,
+        .config_changed = sim_client_ignore_config,
     };
     control_client_init(&node->client, &config, &io);
 }
@@ -209,7 +210,7 @@
 {
     node->up = true;
     node->frozen = false;
-    node->boot++;
+    node->boot_count++;
     if (node->has_replica) {
         sim_start_replica(node);
     } else {
@@ -229,9 +230,9 @@
         sim_disk_crash(node->sim, &node->disk);
         return;
     }
-    /* The callers learn of the loss by their broken connections. */
-    sim_callers_gateway_lost(node->sim, node->id);
-    sim_operators_gateway_lost(node->sim, node->id);
+    /* Callers and operators see their connections close; the client must not complete their requests. */
+    sim_callers_gateway_stopped(node->sim, node->id);
+    sim_operators_gateway_stopped(node->sim, node->id);
     node->client.io.complete = NULL;
     while (node->client.requests != NULL) {
         struct control_request *request = node->client.requests;
@@ -242,7 +243,7 @@
     control_client_close(&node->client);
 }
 
-static void sim_after_event(struct sim *sim, struct sim_node *node, const uint64_t *applied_before)
+static void sim_flush_and_check(struct sim *sim, struct sim_node *node, const uint64_t *applied_before)
 {
     replica_flush(&node->replica, sim->now_ms);
     for (uint32_t group = 0; group < sim->options.groups; group++) {
@@ -252,7 +253,7 @@
     }
 }
 
-static void sim_note_applied(const struct sim *sim, const struct sim_node *node, uint64_t *applied)
+static void sim_record_applied(const struct sim *sim, const struct sim_node *node, uint64_t *applied)
 {
     for (uint32_t group = 0; group < sim->options.groups; group++) {
         applied[group] = node->replica.groups[group].raft.applied;
@@ -268,9 +269,9 @@
     }
     if (node->has_replica) {
         uint64_t applied[REPLICA_MAX_GROUPS] = {0};
-        sim_note_applied(sim, node, applied);
+        sim_record_applied(sim, node, applied);
         replica_receive(&node->replica, sim->now_ms, message->from, &frame);
-        sim_after_event(sim, node, applied);
+        sim_flush_and_check(sim, node, applied);
     } else {
         control_client_receive(&node->client, sim->now_ms, message->from, &frame);
     }
@@ -281,9 +282,9 @@
 {
     if (node->has_replica) {
         uint64_t applied[REPLICA_MAX_GROUPS] = {0};
-        sim_note_applied(sim, node, applied);
+        sim_record_applied(sim, node, applied);
         replica_tick(&node->replica, sim->now_ms);
-        sim_after_event(sim, node, applied);
+        sim_flush_and_check(sim, node, applied);
     } else {
         control_client_tick(&node->client, sim->now_ms);
     }
@@ -303,12 +304,13 @@
 void sim_submit(struct sim *sim, uint32_t gateway, uint32_t group, RequestKind kind, const pb_msgdesc_t *fields,
                 const void *message, uint64_t token)
 {
-    sim_send_request(sim, gateway, group, kind, fields, message, token, SIM_REQUEST_MS);
+    sim_send_request(sim, gateway, group, kind, fields, message, token, SIM_REQUEST_TIMEOUT_MS);
 }
 
-void sim_post(struct sim *sim, uint32_t gateway, uint32_t group, const Entry *entry)
+void sim_submit_async(struct sim *sim, uint32_t gateway, uint32_t group, const Entry *entry)
 {
-    sim_send_request(sim, gateway, group, REQUEST_PROPOSE, Entry_fields, entry, SIM_NOBODY, SIM_POST_MS);
+    sim_send_request(sim, gateway, group, REQUEST_PROPOSE, Entry_fields, entry, SIM_TOKEN_NO_WAITER,
+                     SIM_ASYNC_REQUEST_TIMEOUT_MS);
 }
 
 /* ---- Faults --------------------------------------------------------------------------------- */
@@ -318,13 +320,13 @@
     uint32_t gateway = sim_pick_gateway(sim);
     MemberChange change = {.node = sim->options.replicas, .action = action};
     if (sim_node(sim, gateway)->up) {
-        sim_send_request(sim, gateway, group, REQUEST_MEMBERS, MemberChange_fields, &change, SIM_NOBODY,
-                         SIM_REQUEST_MS);
+        sim_send_request(sim, gateway, group, REQUEST_MEMBERS, MemberChange_fields, &change, SIM_TOKEN_NO_WAITER,
+                         SIM_REQUEST_TIMEOUT_MS);
     }
 }
 
-/* An operator removes the last replica from a group, or puts it back; of five
- * replicas the others keep a quorum. */
+/* Adds the last replica to a random group as a learner, promotes it or removes it.
+ * Only in fleets of five replicas, where the other four keep a quorum. */
 static void sim_change_member(struct sim *sim)
 {
     if (sim->options.replicas >= SIM_MAX_REPLICAS) {
@@ -332,10 +334,10 @@
     }
 }
 
-/* After the faults the last replica is put back into all groups. */
+/* In the settle phase, periodically adds the last replica back to all groups as a voter. */
 static void sim_restore_members(struct sim *sim)
 {
-    if (sim->options.replicas < SIM_MAX_REPLICAS || sim->now_ms % SIM_RESTORE_MS != 0) {
+    if (sim->options.replicas < SIM_MAX_REPLICAS || sim->now_ms % SIM_MEMBER_RESTORE_PERIOD_MS != 0) {
         return;
     }
     for (uint32_t group = 0; group < sim->options.groups; group++) {
@@ -344,48 +346,49 @@
     }
 }
 
-static void sim_crash(struct sim *sim, struct sim_node *node, uint32_t pause_ms)
+static void sim_crash(struct sim *sim, struct sim_node *node, uint32_t max_downtime_ms)
 {
     if (!node->up) {
         return;
     }
     sim->counters.crashes++;
     sim_stop_node(node);
-    node->until_ms = sim->now_ms + 100 + sim_random(sim, pause_ms);
+    node->resume_ms = sim->now_ms + 100 + sim_random(sim, max_downtime_ms);
 }
 
-/* Cuts a part of the nodes off, in one direction or both. */
-static void sim_cut(struct sim *sim)
+/* Starts a network partition between two random sets of nodes, in one direction or both. */
+static void sim_start_partition(struct sim *sim)
 {
-    bool both = sim_chance(sim, 50);
-    bool inside[SIM_MAX_REPLICAS + SIM_MAX_GATEWAYS];
-    sim->counters.cuts++;
+    bool both_directions = sim_chance(sim, 50);
+    bool in_first_set[SIM_MAX_REPLICAS + SIM_MAX_GATEWAYS];
+    sim->counters.partitions++;
     for (uint32_t i = 0; i < sim->node_count; i++) {
-        inside[i] = sim_chance(sim, 40);
+        in_first_set[i] = sim_chance(sim, 40);
     }
     for (uint32_t from = 0; from < sim->node_count; from++) {
         for (uint32_t to = 0; to < sim->node_count; to++) {
-            bool crosses = both ? inside[from] != inside[to] : inside[from] && !inside[to];
-            sim->cut[from * sim->node_count + to] = crosses;
+            bool crosses =
+                both_directions ? in_first_set[from] != in_first_set[to] : in_first_set[from] && !in_first_set[to];
+            sim->partitioned[from * sim->node_count + to] = crosses;
         }
     }
-    sim->cut_until_ms = sim->now_ms + 200 + sim_random(sim, 3000);
+    sim->partition_end_ms = sim->now_ms + 200 + sim_random(sim, 3000);
 }
 
-/* Cuts the leader of a group off from everyone, in silence. */
-static void sim_cut_leader(struct sim *sim)
+/* Isolates the leader of a random group from all other nodes, if the group has a leader. */
+static void sim_isolate_leader(struct sim *sim)
 {
     uint32_t group = sim_random(sim, sim->options.groups);
     for (uint32_t i = 0; i < sim->options.replicas; i++) {
         if (!sim->nodes[i].up || !raft_is_leader(&sim->nodes[i].replica.groups[group].raft)) {
             continue;
         }
-        sim->counters.cuts++;
+        sim->counters.partitions++;
         for (uint32_t other = 0; other < sim->node_count; other++) {
-            sim->cut[i * sim->node_count + other] = true;
-            sim->cut[other * sim->node_count + i] = true;
+            sim->partitioned[i * sim->node_count + other] = true;
+            sim->partitioned[other * sim->node_count + i] = true;
         }
-        sim->cut_until_ms = sim->now_ms + 500 + sim_random(sim, 4000);
+        sim->partition_end_ms = sim->now_ms + 500 + sim_random(sim, 4000);
         return;
     }
 }
@@ -397,56 +400,56 @@
     }
     sim->counters.freezes++;
     node->frozen = true;
-    node->until_ms = sim->now_ms + 100 + sim_random(sim, 2500);
+    node->resume_ms = sim->now_ms + 100 + sim_random(sim, 2500);
 }
 
-static void sim_new_fault(struct sim *sim)
+static void sim_inject_fault(struct sim *sim)
 {
-    struct sim_node *any = &sim->nodes[sim_random(sim, sim->node_count)];
-    struct sim_node *replica = &sim->nodes[sim_random(sim, sim->options.replicas)];
+    struct sim_node *random_node = &sim->nodes[sim_random(sim, sim->node_count)];
+    struct sim_node *random_replica = &sim->nodes[sim_random(sim, sim->options.replicas)];
     sim_change_member(sim);
     switch (sim_random(sim, 8)) {
-    case 0: sim_crash(sim, replica, 1500); break;
-    case 1: sim_crash(sim, any, 1500); break;
-    case 2: /* a whole majority at once */
-        sim_crash(sim, replica, 800);
+    case 0: sim_crash(sim, random_replica, 1500); break;
+    case 1: sim_crash(sim, random_node, 1500); break;
+    case 2: /* up to two replicas in the same step: a majority of three */
+        sim_crash(sim, random_replica, 800);
         sim_crash(sim, &sim->nodes[sim_random(sim, sim->options.replicas)], 800);
         break;
-    case 3: sim_cut(sim); break;
-    case 4: sim_cut_leader(sim); break;
-    case 5: sim_freeze(sim, any); break;
+    case 3: sim_start_partition(sim); break;
+    case 4: sim_isolate_leader(sim); break;
+    case 5: sim_freeze(sim, random_node); break;
     case 6: sim->drop_percent = sim_random(sim, 15); break;
     default: sim->slow_percent = sim_random(sim, 10); break;
     }
 }
 
-static void sim_heal_due(struct sim *sim)
+static void sim_recover_due(struct sim *sim)
 {
-    if (sim->now_ms >= sim->cut_until_ms) {
-        memset(sim->cut, 0, (size_t)sim->node_count * sim->node_count * sizeof(*sim->cut));
+    if (sim->now_ms >= sim->partition_end_ms) {
+        memset(sim->partitioned, 0, (size_t)sim->node_count * sim->node_count * sizeof(*sim->partitioned));
     }
     for (uint32_t i = 0; i < sim->node_count; i++) {
         struct sim_node *node = &sim->nodes[i];
-        if (!node->up && sim->now_ms >= node->until_ms) {
+        if (!node->up && sim->now_ms >= node->resume_ms) {
             sim_start_node(node);
-            /* a second machine may be lost right after the repair of the first */
-            if (!sim->calm && node->has_replica && sim_chance(sim, 30)) {
+            /* another replica may crash right after this one restarted */
+            if (!sim->settling && node->has_replica && sim_chance(sim, 30)) {
                 sim_crash(sim, &sim->nodes[sim_random(sim, sim->options.replicas)], 1500);
             }
         }
-        node->frozen = node->frozen && sim->now_ms < node->until_ms;
+        node->frozen = node->frozen && sim->now_ms < node->resume_ms;
     }
 }
 
-static void sim_end_chaos(struct sim *sim)
+static void sim_end_faults(struct sim *sim)
 {
-    sim->calm = true;
+    sim->settling = true;
     sim->drop_percent = 0;
     sim->slow_percent = 0;
     sim->duplicate_percent = 0;
-    sim->cut_until_ms = 0;
+    sim->partition_end_ms = 0;
     for (uint32_t i = 0; i < sim->node_count; i++) {
-        sim->nodes[i].until_ms = 0;
+        sim->nodes[i].resume_ms = 0;
     }
 }
 
@@ -458,17 +461,17 @@
     while (!sim->failed && sim_network_pop(sim, &message)) {
         struct sim_node *node = sim_node(sim, message.to);
         if (node->up && node->frozen) {
-            /* A frozen process finds its messages when it wakes up. */
+            /* A frozen process receives its messages when it resumes. */
             struct view frame = view_of(message.data, message.length);
             uint64_t now_ms = sim->now_ms;
-            sim->now_ms = node->until_ms + 1;
+            sim->now_ms = node->resume_ms + 1;
             uint32_t from = message.from;
             sim->network.sent--;
-            bool *cut = &sim->cut[(from - 1) * sim->node_count + message.to - 1];
-            bool was_cut = *cut;
-            *cut = false;
+            bool *link_partitioned = &sim->partitioned[(from - 1) * sim->node_count + message.to - 1];
+            bool was_partitioned = *link_partitioned;
+            *link_partitioned = false;
             sim_network_send(sim, from, message.to, frame);
-            *cut = was_cut;
+            *link_partitioned = was_partitioned;
             sim->now_ms = now_ms;
         } else {
             sim_deliver(sim, &message);
@@ -480,15 +483,15 @@
 static void sim_step(struct sim *sim)
 {
     sim->now_ms += SIM_STEP_MS;
-    bool chaos = sim->options.faults && sim->now_ms < sim->options.chaos_ms;
-    if (chaos && sim_chance(sim, SIM_FAULT_PERCENT)) {
-        sim_new_fault(sim);
+    bool faults_active = sim->options.faults && sim->now_ms < sim->options.fault_phase_ms;
+    if (faults_active && sim_chance(sim, SIM_FAULT_PERCENT)) {
+        sim_inject_fault(sim);
     }
-    if (!sim->calm && sim->now_ms >= sim->options.chaos_ms) {
-        sim_end_chaos(sim);
+    if (!sim->settling && sim->now_ms >= sim->options.fault_phase_ms) {
+        sim_end_faults(sim);
     }
-    sim_heal_due(sim);
-    if (sim->calm) {
+    sim_recover_due(sim);
+    if (sim->settling) {
         sim_restore_members(sim);
     }
     sim_deliver_due(sim);
@@ -509,7 +512,7 @@
     gsl_rng_set(sim->random, (unsigned long)(options->seed * 2654435761U + 1));
     sim->node_count = options->replicas + options->gateways;
     sim->nodes = memory_new(sim->node_count * sizeof(*sim->nodes));
-    sim->cut = memory_new((size_t)sim->node_count * sim->node_count * sizeof(*sim->cut));
+    sim->partitioned = memory_new((size_t)sim->node_count * sim->node_count * sizeof(*sim->partitioned));
     sim->duplicate_percent = options->faults ? 3 : 0;
     for (uint32_t i = 0; i < sim->node_count; i++) {
         struct sim_node *node = &sim->nodes[i];
@@ -526,7 +529,7 @@
 bool sim_run(struct sim *sim, const struct sim_options *options)
 {
     sim_open(sim, options);
-    uint64_t end_ms = (uint64_t)options->chaos_ms + options->calm_ms;
+    uint64_t end_ms = (uint64_t)options->fault_phase_ms + options->settle_phase_ms;
     while (!sim->failed && sim->now_ms < end_ms) {
         sim_step(sim);
     }
@@ -549,7 +552,7 @@
     }
     sim_network_close(&sim->network);
     free(sim->nodes);
-    free(sim->cut);
+    free(sim->partitioned);
     free(sim->changes);
     gsl_rng_free(sim->random);
 }
--- a/src/sim/sim.h
+++ b/src/sim/sim.h
@@ -1,15 +1,9 @@
 /**
  * @file sim.h
- * Deterministic simulation of a fleet in one process: state replicas and
- * hollow gateways run the daemon's own core objects over a virtual clock, a
- * seeded network and storage that loses what was not synced. Callers and
- * operators drive it, and an oracle checks every invariant of the product.
- *
- *   sim.c           the world: nodes, time, faults
- *   sim_disk.c      storage of a replica
- *   sim_network.c   messages in flight
- *   sim_callers.c   callers and their part of the oracle
- *   sim_operators.c operators and their part of the oracle
+ * Deterministic simulation of a fleet in one process. State replicas and the
+ * control clients of gateways run with a virtual clock, a simulated network with
+ * seeded faults, and storage that may lose unsynced writes. An oracle checks the
+ * Raft invariants and the responses to simulated callers and operators.
  */
 #ifndef BANKBANK_SIM_SIM_H
 #define BANKBANK_SIM_SIM_H
@@ -29,87 +23,85 @@
     SIM_MAX_OPERATORS = 4,
     SIM_MAX_CALLS = 16,
     SIM_STEP_MS = 10,
-    SIM_FAULT_TEXT = 160
+    SIM_FAILURE_TEXT_BYTES = 160
 };
 
-/** What a schedule contains. */
+/** Parameters of a schedule, which is one run of the simulation. */
 struct sim_options {
-    uint64_t seed;             /**< Decides everything. */
-    uint32_t replicas;         /**< State replicas. */
-    uint32_t groups;           /**< Groups, configuration group included. */
-    uint32_t gateways;         /**< Hollow gateways. */
-    uint32_t callers;          /**< Programs under way at a time. */
-    uint32_t operators;        /**< Operators that change the configuration. */
-    uint32_t chaos_ms;         /**< Time during which faults happen. */
-    uint32_t calm_ms;          /**< Time to settle afterwards. */
-    bool faults;               /**< Whether faults happen at all. */
+    uint64_t seed;
+    uint32_t replicas;
+    uint32_t groups; /**< Including the configuration group. */
+    uint32_t gateways;
+    uint32_t callers; /**< Each runs one program at a time. */
+    uint32_t operators;
+    uint32_t fault_phase_ms;
+    uint32_t settle_phase_ms; /**< Fault-free; follows the fault phase. */
+    bool faults;
     uint32_t snapshot_entries; /**< Entries between snapshots. */
-    const uint8_t *choices;    /**< Decide instead of the seed until they are used up; NULL: none. */
-    size_t choice_count;       /**< Their number. */
+    const uint8_t *choices;    /**< Fuzz input that replaces random numbers until it is used up; NULL: none. */
+    size_t choice_count;       /**< Bytes of `choices`. */
 };
 
-/** Storage of a replica. */
+/** Durable storage of one group of a replica. */
 struct sim_disk_group {
-    uint64_t term;                /**< Durable term. */
-    uint32_t vote;                /**< Durable vote. */
-    struct raft_log log;          /**< Durable entries. */
-    struct raft_members members;  /**< Members at the snapshot. */
-    struct buffer snapshot;       /**< Durable snapshot. */
-    uint64_t snapshot_index;      /**< Last entry that it covers. */
-    struct buffer writing;        /**< Snapshot that is being written. */
-    struct raft_snapshot written; /**< What that one covers. */
+    uint64_t term;
+    uint32_t vote;
+    struct raft_log log;
+    struct raft_members members; /**< Members as of the snapshot. */
+    struct buffer snapshot;
+    uint64_t snapshot_index;               /**< Last entry covered by `snapshot`. */
+    struct buffer partial_snapshot;        /**< Snapshot that is being written. */
+    struct raft_snapshot partial_metadata; /**< Index, term and members of `partial_snapshot`. */
 };
-/** A write that was not synced. */
+/** An unsynced write: a log entry, or a term and vote. */
 struct sim_write {
-    uint32_t group;          /**< Group. */
-    bool is_entry;           /**< Entry, or term and vote. */
-    uint64_t term;           /**< Term and vote. */
-    uint32_t vote;           /**< Term and vote. */
-    struct raft_entry entry; /**< Entry; owns its data. */
+    uint32_t group;
+    bool is_entry;
+    uint64_t term;
+    uint32_t vote;
+    struct raft_entry entry; /**< Owns its data. */
 };
 struct sim_disk {
-    struct sim_disk_group groups[REPLICA_MAX_GROUPS]; /**< Durable state. */
-    uint32_t group_count;                             /**< Groups. */
-    struct sim_write *writes;                         /**< Not synced yet. */
-    size_t write_count;                               /**< Their number. */
-    struct buffer history;                            /**< Texts. */
-    size_t history_synced;                            /**< Texts that are durable. */
+    struct sim_disk_group groups[REPLICA_MAX_GROUPS];
+    uint32_t group_count;
+    struct sim_write *writes; /**< Unsynced writes, oldest first. */
+    size_t write_count;
+    struct buffer history; /**< Conversation texts. */
+    size_t history_synced; /**< Leading bytes of `history` that are durable. */
 };
 
-/** A message in flight. */
 struct sim_message {
-    uint64_t due_ms; /**< Time of arrival. */
-    uint64_t order;  /**< Tie breaker. */
-    uint32_t from;   /**< Sender. */
-    uint32_t to;     /**< Receiver. */
-    uint8_t *data;   /**< Encoded frame. */
-    size_t length;   /**< Bytes. */
+    uint64_t due_ms;   /**< Delivery time. */
+    uint64_t sequence; /**< Send order, for messages with the same delivery time. */
+    uint32_t from;
+    uint32_t to;
+    uint8_t *data; /**< Encoded Frame, owned. */
+    size_t length;
 };
 struct sim_network {
-    struct sim_message *heap; /**< Messages, earliest first. */
-    size_t count;             /**< Messages. */
-    size_t capacity;          /**< Allocated. */
-    uint64_t order;           /**< Counter. */
-    uint64_t sent;            /**< Messages sent so far. */
-    uint64_t bytes;           /**< Their bytes. */
+    struct sim_message *heap; /**< In-flight messages; binary min-heap by (due_ms, sequence). */
+    size_t count;
+    size_t capacity;
+    uint64_t next_sequence;
+    uint64_t sent;  /**< Messages between different nodes, including dropped ones. */
+    uint64_t bytes; /**< Bytes of these messages. */
 };
 
-/** A node: a state replica, a gateway, or both. */
+/** A state replica or a gateway. */
 struct sim_node {
-    struct sim *sim;              /**< The world. */
-    uint32_t id;                  /**< Node id. */
-    bool up;                      /**< Runs. */
-    bool has_replica;             /**< Hosts a replica. */
-    bool frozen;                  /**< Runs nothing for a while. */
-    uint64_t until_ms;            /**< Time to restart or thaw. */
-    uint64_t boot;                /**< Number of the start. */
-    struct replica replica;       /**< Replica, while up. */
-    struct sim_disk disk;         /**< Its storage. */
-    struct control_client client; /**< Gateway's client, while up. */
-    bool has_client;              /**< Runs a client. */
+    struct sim *sim;
+    uint32_t id;
+    bool up;            /**< The process runs. */
+    bool has_replica;   /**< A state replica; else a gateway. */
+    bool frozen;        /**< The process is suspended: it handles no messages and no ticks. */
+    uint64_t resume_ms; /**< Time at which a stopped process restarts, or a frozen one resumes. */
+    uint64_t boot_count;
+    struct replica replica;       /**< Valid while up and has_replica. */
+    struct sim_disk disk;         /**< Kept across restarts. */
+    struct control_client client; /**< Valid while up and not has_replica. */
+    bool has_client;              /**< Not used. */
 };
 
-/** Where a caller stands. */
 enum sim_caller_state {
     SIM_CALLER_CREATE,
     SIM_CALLER_BEGIN,
@@ -121,116 +113,113 @@
     SIM_CALLER_DONE
 };
 
-/** What the oracle knows of one call. */
+/** What the oracle recorded about one call. */
 struct sim_call {
-    bool repeatable;   /**< May run again after a loss. */
-    uint32_t runs;     /**< Times an engine ran it. */
-    bool acknowledged; /**< The caller has its answer. */
-    bool unknown;      /**< The caller was told so. */
-    char answer[80];   /**< The acknowledged answer. */
+    bool repeatable;    /**< May run again when its outcome is unknown. */
+    uint32_t run_count; /**< Times that an engine ran it. */
+    bool acknowledged;  /**< The caller received its answer. */
+    bool unknown;       /**< The caller received RESULT_UNKNOWN. */
+    char acknowledged_answer[80];
 };
 
-/** One caller with one program at a time. */
 struct sim_caller {
-    struct sim *sim;                          /**< The world. */
-    uint32_t number;                          /**< Position. */
-    enum sim_caller_state state;              /**< Where it stands. */
-    bool waiting;                             /**< A request is under way. */
-    uint64_t ticket;                          /**< Id of that request; older answers are dropped. */
-    uint32_t gateway;                         /**< Node it uses. */
-    uint64_t due_ms;                          /**< Time of the next step. */
-    char program[32];                         /**< Program id. */
-    uint64_t programs;                        /**< Programs so far. */
-    uint32_t call;                            /**< Current call. */
-    uint32_t call_limit;                      /**< Calls this program will make. */
-    char attempt[LEDGER_ATTEMPT_LENGTH + 1];  /**< Current attempt. */
-    uint64_t granted;                         /**< Tokens granted to it. */
-    uint64_t budget;                          /**< Budget of the program. */
-    uint64_t consumed;                        /**< Tokens engines really used. */
-    bool held;                                /**< An engine may hold memory of it. */
+    struct sim *sim;
+    uint32_t index; /**< In sim.callers. */
+    enum sim_caller_state state;
+    bool waiting;            /**< A request is in flight. */
+    uint64_t correlation_id; /**< Of the last request; responses to older ones are dropped. */
+    uint32_t gateway;        /**< Node id of the gateway that it uses; 0: none yet. */
+    uint64_t due_ms;         /**< Time of the next step. */
+    char program[32];        /**< Program id. */
+    uint64_t program_count;  /**< Programs started so far. */
+    uint32_t call;           /**< Current call, from 1. */
+    uint32_t call_count;     /**< Calls in this program. */
+    char attempt[LEDGER_ATTEMPT_LENGTH + 1];
+    uint64_t granted_tokens; /**< Completion tokens granted to the attempt. */
+    uint64_t budget_tokens;
+    uint64_t used_tokens; /**< Tokens that engines used for the program. */
+    bool needs_release;   /**< An engine may cache the program's prompts; replicas must record a release. */
     struct sim_call calls[SIM_MAX_CALLS + 1]; /**< By call number. */
 };
 
-/** An operator. */
 struct sim_operator {
-    struct sim *sim;     /**< The world. */
-    uint32_t number;     /**< Position. */
-    bool waiting;        /**< A request is under way. */
-    uint64_t ticket;     /**< Id of that request. */
-    uint64_t due_ms;     /**< Time of the next step. */
-    uint32_t gateway;    /**< Node it uses. */
-    uint64_t changes;    /**< Changes so far. */
-    bool undecided;      /**< The last change has no answer yet and is sent again. */
-    uint64_t expected;   /**< Revision it expects. */
-    uint64_t read_floor; /**< Highest acknowledged revision when a read began. */
-    bool reading;        /**< The request is a read. */
-    char request_id[32]; /**< Id of the change. */
-    char name[32];       /**< Resource changed. */
-    char value[32];      /**< New content. */
+    struct sim *sim;
+    uint32_t index;          /**< In sim.operators. */
+    bool waiting;            /**< A request is in flight. */
+    uint64_t correlation_id; /**< Of the last request; responses to older ones are dropped. */
+    uint64_t due_ms;         /**< Time of the next step. */
+    uint32_t gateway;        /**< Node id of the gateway that it uses; 0: none yet. */
+    uint64_t change_count;
+    bool outcome_unknown;       /**< The last change has no response yet; it is retried until it has one. */
+    uint64_t expected_revision; /**< Revision on which the next change is based. */
+    uint64_t min_read_revision; /**< Highest acknowledged revision when the read started. */
+    bool reading;               /**< The last request is a read. */
+    char request_id[32];        /**< Request id of the change, the same in all retries. */
+    char name[32];              /**< Name of the changed resource. */
+    char value[32];             /**< New content of the resource. */
 };
 
-/** An acknowledged change. */
+/** An acknowledged configuration change. */
 struct sim_change {
-    uint64_t revision; /**< Revision it made. */
-    char name[32];     /**< Resource. */
-    char value[32];    /**< Content. */
+    uint64_t revision; /**< Revision that it created. */
+    char name[32];     /**< Name of the resource. */
+    char value[32];    /**< Content of the resource. */
 };
 
-/** Counts of what a schedule did. */
+/** Event counts of a schedule. bankbank-sim sums them as an array: uint64_t members only. */
 struct sim_counters {
-    uint64_t calls, replays, unknowns, takeovers, changes, races_lost, crashes, cuts, freezes, installs, reads;
+    uint64_t calls, replays, unknowns, repeated_runs, changes, revision_conflicts, crashes, partitions, freezes,
+        installs, reads;
     uint64_t budget_refusals, timeouts;
 };
 
-/** The world. */
 struct sim {
-    struct sim_options options;                             /**< The schedule. */
-    gsl_rng *random;                                        /**< Seeded. */
-    size_t choices_used;                                    /**< Choices taken from the options. */
-    uint64_t now_ms;                                        /**< Virtual time. */
-    struct sim_network network;                             /**< Messages in flight. */
-    struct sim_node *nodes;                                 /**< By id - 1: replicas, then gateways. */
-    uint32_t node_count;                                    /**< Nodes. */
-    bool *cut;                                              /**< Direction from-to is cut, node_count squared. */
-    uint64_t cut_until_ms;                                  /**< End of the current cut. */
-    uint32_t drop_percent, duplicate_percent, slow_percent; /**< Network quality. */
-    struct sim_caller callers[SIM_MAX_CALLERS];             /**< Callers. */
-    struct sim_operator operators[SIM_MAX_OPERATORS];       /**< Operators. */
-    struct sim_change *changes;                             /**< Acknowledged changes. */
-    size_t change_count;                                    /**< Their number. */
-    uint64_t acknowledged_revision;                         /**< Highest of them. */
-    uint64_t *applied_hashes[REPLICA_MAX_GROUPS];           /**< Hash of each applied entry, by index. */
-    size_t applied_counts[REPLICA_MAX_GROUPS];              /**< Indexes known. */
+    struct sim_options options;
+    gsl_rng *random;
+    size_t choices_used; /**< Bytes of options.choices used so far. */
+    uint64_t now_ms;     /**< Virtual time. */
+    struct sim_network network;
+    struct sim_node *nodes; /**< Node with id i at i - 1: replicas, then gateways. */
+    uint32_t node_count;
+    bool *partitioned; /**< node_count x node_count, by sender and receiver: messages are dropped. */
+    uint64_t partition_end_ms;
+    uint32_t drop_percent, duplicate_percent, slow_percent; /**< Chances of message faults. */
+    struct sim_caller callers[SIM_MAX_CALLERS];
+    struct sim_operator operators[SIM_MAX_OPERATORS];
+    struct sim_change *changes; /**< Acknowledged changes. */
+    size_t change_count;
+    uint64_t acknowledged_revision;               /**< Highest acknowledged revision. */
+    uint64_t *applied_hashes[REPLICA_MAX_GROUPS]; /**< Hash of each applied entry, by index; 0: not applied yet. */
+    size_t applied_capacities[REPLICA_MAX_GROUPS];
     struct {
         uint64_t term;
         uint32_t node;
-    } * leaders[REPLICA_MAX_GROUPS];          /**< Leader of each term seen. */
-    size_t leader_counts[REPLICA_MAX_GROUPS]; /**< Their number. */
-    uint64_t tickets;                         /**< Request counter. */
-    bool calm;                                /**< Faults are over. */
-    bool failed;                              /**< An invariant broke. */
-    char failure[SIM_FAULT_TEXT];             /**< Which, and where. */
-    struct sim_counters counters;             /**< What happened. */
+    } * leaders[REPLICA_MAX_GROUPS]; /**< Observed leaders, one per term. */
+    size_t leader_counts[REPLICA_MAX_GROUPS];
+    uint64_t last_id;                     /**< Last id given to a request or an attempt. */
+    bool settling;                        /**< The fault phase is over. */
+    bool failed;                          /**< An invariant was violated. */
+    char failure[SIM_FAILURE_TEXT_BYTES]; /**< Description of the first violation. */
+    struct sim_counters counters;
 };
 
-/** Default schedule of a seed. */
 struct sim_options sim_options_of_seed(uint64_t seed);
 
-/** Runs a schedule; false: see `failure`. Close in any case. */
+/** Runs a schedule. False: an invariant was violated, see `failure`. Call sim_close() in either case. */
 bool sim_run(struct sim *sim, const struct sim_options *options);
 void sim_close(struct sim *sim);
 
-/** Notes that an invariant broke; the first one is kept. */
+/** Records the violation of an invariant; only the first one is kept. */
 void sim_fail(struct sim *sim, const char *format, ...) __attribute__((format(printf, 2, 3)));
 
-/** A seeded number below `limit`, and a seeded yes with a probability. */
+/** Returns a random number in [0, limit), or 0 for limit 0. */
 uint32_t sim_random(struct sim *sim, uint32_t limit);
+/** Returns true with a probability of `percent`. */
 bool sim_chance(struct sim *sim, uint32_t percent);
 
-/** The node with an id. */
 struct sim_node *sim_node(struct sim *sim, uint32_t id);
 
-/** Some running gateway. */
+/** Returns the node id of a random running gateway, or of a stopped one if none runs. */
 uint32_t sim_pick_gateway(struct sim *sim);
 
 /* sim_disk.c */
@@ -250,21 +239,22 @@
 void sim_callers_init(struct sim *sim);
 void sim_callers_step(struct sim *sim);
 void sim_callers_complete(struct sim *sim, uint64_t token, ResultCode code, struct view body);
-void sim_callers_gateway_lost(struct sim *sim, uint32_t gateway);
+void sim_callers_gateway_stopped(struct sim *sim, uint32_t gateway);
 void sim_callers_check(struct sim *sim);
 
 /* sim_operators.c */
 void sim_operators_init(struct sim *sim);
 void sim_operators_step(struct sim *sim);
 void sim_operators_complete(struct sim *sim, uint64_t token, ResultCode code, struct view body);
-void sim_operators_gateway_lost(struct sim *sim, uint32_t gateway);
+void sim_operators_gateway_stopped(struct sim *sim, uint32_t gateway);
 void sim_operators_check(struct sim *sim);
 
-/** Sends a request of a caller or operator through its gateway. */
+/** Submits a request of a caller or operator to its gateway; `token` is passed to the completion callbacks. Its lowest
+ * bit is 1 for operators, the others are the correlation id, whose lowest byte is the caller's or operator's index. */
 void sim_submit(struct sim *sim, uint32_t gateway, uint32_t group, RequestKind kind, const pb_msgdesc_t *fields,
                 const void *message, uint64_t token);
 
-/** Sends an entry that nobody waits for; the gateway repeats it for a long time. */
-void sim_post(struct sim *sim, uint32_t gateway, uint32_t group, const Entry *entry);
+/** Proposes an entry through a gateway without waiting for the result; the gateway retries for an hour. */
+void sim_submit_async(struct sim *sim, uint32_t gateway, uint32_t group, const Entry *entry);
 
 #endif
--- a/src/sim/sim_disk.c
+++ b/src/sim/sim_disk.c
@@ -1,4 +1,4 @@
-/* Storage of a simulated replica: writes are durable only once synced. */
+/* Storage of a simulated replica; a crash may lose writes that are not synced. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -26,7 +26,7 @@
     for (uint32_t group = 0; group < disk->group_count; group++) {
         raft_log_close(&disk->groups[group].log);
         buffer_close(&disk->groups[group].snapshot);
-        buffer_close(&disk->groups[group].writing);
+        buffer_close(&disk->groups[group].partial_snapshot);
     }
     buffer_close(&disk->history);
 }
@@ -46,30 +46,30 @@
     raft_log_append(&group->log, &write->entry);
 }
 
-static void sim_disk_add(struct sim_disk *disk, const struct sim_write *write)
+static void sim_disk_add_write(struct sim_disk *disk, const struct sim_write *write)
 {
     disk->writes = memory_resize(disk->writes, (disk->write_count + 1) * sizeof(*disk->writes));
     disk->writes[disk->write_count++] = *write;
 }
 
-/* A crash keeps an arbitrary beginning of what was not synced. */
+/* Keeps a random prefix of the unsynced writes, and no unsynced history. */
 void sim_disk_crash(struct sim *sim, struct sim_disk *disk)
 {
-    size_t kept = disk->write_count == 0 ? 0 : sim_random(sim, (uint32_t)disk->write_count + 1);
-    for (size_t i = 0; i < kept; i++) {
+    size_t kept_count = disk->write_count == 0 ? 0 : sim_random(sim, (uint32_t)disk->write_count + 1);
+    for (size_t i = 0; i < kept_count; i++) {
         sim_disk_apply(disk, &disk->writes[i]);
     }
     sim_disk_drop_writes(disk);
     disk->history.length = disk->history_synced;
 }
 
-/* ---- The replica's view ------------------------------------------------------------ */
+/* ---- Replica callbacks ------------------------------------------------------------- */
 
 static void sim_disk_save_state(void *context, uint32_t group, uint64_t term, uint32_t vote)
 {
     struct sim_node *node = context;
     struct sim_write write = {.group = group, .term = term, .vote = vote};
-    sim_disk_add(&node->disk, &write);
+    sim_disk_add_write(&node->disk, &write);
 }
 
 static void sim_disk_append(void *context, uint32_t group, const struct raft_entry *entry)
@@ -77,10 +77,10 @@
     struct sim_node *node = context;
     struct sim_write write = {.group = group, .is_entry = true, .entry = *entry};
     write.entry.data = (uint8_t *)memory_copy(entry->data, entry->length);
-    sim_disk_add(&node->disk, &write);
+    sim_disk_add_write(&node->disk, &write);
 }
 
-static enum replica_sync sim_disk_sync(void *context)
+static enum replica_sync_result sim_disk_sync(void *context)
 {
     struct sim_node *node = context;
     for (size_t i = 0; i < node->disk.write_count; i++) {
@@ -93,32 +93,32 @@
 static bool sim_disk_snapshot_begin(void *context, uint32_t group, const struct raft_snapshot *snapshot)
 {
     struct sim_disk_group *stored = &((struct sim_node *)context)->disk.groups[group];
-    buffer_clear(&stored->writing);
-    stored->written = *snapshot;
+    buffer_clear(&stored->partial_snapshot);
+    stored->partial_metadata = *snapshot;
     return true;
 }
 
 static bool sim_disk_snapshot_write(void *context, uint32_t group, struct view bytes)
 {
     struct sim_disk_group *stored = &((struct sim_node *)context)->disk.groups[group];
-    buffer_append(&stored->writing, bytes.data, bytes.length);
+    buffer_append(&stored->partial_snapshot, bytes.data, bytes.length);
     return true;
 }
 
 static void sim_disk_snapshot_abort(void *context, uint32_t group)
 {
-    buffer_clear(&((struct sim_node *)context)->disk.groups[group].writing);
+    buffer_clear(&((struct sim_node *)context)->disk.groups[group].partial_snapshot);
 }
 
-static bool sim_disk_snapshot_read(void *context, uint32_t group, uint64_t index, uint64_t at, size_t most,
+static bool sim_disk_snapshot_read(void *context, uint32_t group, uint64_t index, uint64_t offset, size_t max_bytes,
                                    struct buffer *out)
 {
     const struct sim_disk_group *stored = &((struct sim_node *)context)->disk.groups[group];
-    if (stored->snapshot_index != index || at > stored->snapshot.length) {
+    if (stored->snapshot_index != index || offset > stored->snapshot.length) {
         return false;
     }
-    size_t left = stored->snapshot.length - (size_t)at;
-    buffer_append(out, stored->snapshot.data + at, left < most ? left : most);
+    size_t remaining = stored->snapshot.length - (size_t)offset;
+    buffer_append(out, stored->snapshot.data + offset, remaining < max_bytes ? remaining : max_bytes);
     return true;
 }
 
@@ -126,14 +126,14 @@
 {
     struct sim_node *node = context;
     struct sim_disk_group *stored = &node->disk.groups[group];
-    uint64_t index = stored->written.index;
-    uint64_t term = stored->written.term;
+    uint64_t index = stored->partial_metadata.index;
+    uint64_t term = stored->partial_metadata.term;
     sim_disk_sync(context);
     node->disk.history_synced = node->disk.history.length;
     buffer_clear(&stored->snapshot);
-    buffer_append(&stored->snapshot, stored->writing.data, stored->writing.length);
+    buffer_append(&stored->snapshot, stored->partial_snapshot.data, stored->partial_snapshot.length);
     stored->snapshot_index = index;
-    stored->members = stored->written.members;
+    stored->members = stored->partial_metadata.members;
     uint64_t last = stored->log.base_index + stored->log.count;
     if (reset_log || index >= last) {
         raft_log_reset(&stored->log, index, term);
@@ -200,8 +200,8 @@
         .context = node,
         .append = sim_history_append,
         .read = sim_history_read,
-        .drop = sim_history_ignore,
-        .keep = sim_history_ignore,
+        .release = sim_history_ignore,
+        .mark_used = sim_history_ignore,
     };
     return io;
 }
@@ -216,7 +216,7 @@
             struct raft_snapshot snapshot = {stored->log.base_index, stored->log.base_term, stored->members};
             bool restored = replica_restore_snapshot(&node->replica, group, &snapshot);
             if (!restored) {
-                sim_fail(node->sim, "node %u cannot load its snapshot of group %u", node->id, group);
+                sim_fail(node->sim, "node %u cannot restore its snapshot of group %u", node->id, group);
             }
         }
         for (size_t i = 0; i < stored->log.count; i++) {
--- a/src/sim/sim_network.c
+++ b/src/sim/sim_network.c
@@ -1,4 +1,4 @@
-/* Messages in flight: delayed, dropped, duplicated, reordered and cut off. */
+/* Network that delays, reorders, drops and duplicates messages, and can be partitioned. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -8,14 +8,14 @@
 
 static bool sim_message_before(const struct sim_message *a, const struct sim_message *b)
 {
-    return a->due_ms != b->due_ms ? a->due_ms < b->due_ms : a->order < b->order;
+    return a->due_ms != b->due_ms ? a->due_ms < b->due_ms : a->sequence < b->sequence;
 }
 
 static void sim_heap_swap(struct sim_network *network, size_t a, size_t b)
 {
-    struct sim_message kept = network->heap[a];
+    struct sim_message temporary = network->heap[a];
     network->heap[a] = network->heap[b];
-    network->heap[b] = kept;
+    network->heap[b] = temporary;
 }
 
 static void sim_heap_push(struct sim_network *network, const struct sim_message *message)
@@ -32,21 +32,21 @@
     }
 }
 
-static void sim_heap_sink(struct sim_network *network)
+static void sim_heap_sift_down(struct sim_network *network)
 {
     size_t position = 0;
     for (;;) {
-        size_t least = position;
+        size_t smallest = position;
         for (size_t child = 2 * position + 1; child <= 2 * position + 2; child++) {
-            if (child < network->count && sim_message_before(&network->heap[child], &network->heap[least])) {
-                least = child;
+            if (child < network->count && sim_message_before(&network->heap[child], &network->heap[smallest])) {
+                smallest = child;
             }
         }
-        if (least == position) {
+        if (smallest == position) {
             return;
         }
-        sim_heap_swap(network, position, least);
-        position = least;
+        sim_heap_swap(network, position, smallest);
+        position = smallest;
     }
 }
 
@@ -58,7 +58,7 @@
     }
     struct sim_message message = {
         .due_ms = sim->now_ms + delay_ms,
-        .order = sim->network.order++,
+        .sequence = sim->network.next_sequence++,
         .from = from,
         .to = to,
         .data = (uint8_t *)memory_copy(frame.data, frame.length),
@@ -71,8 +71,9 @@
 {
     sim->network.sent += from != to ? 1 : 0;
     sim->network.bytes += from != to ? frame.length : 0;
-    bool lost = from != to && (sim->cut[(from - 1) * sim->node_count + to - 1] || sim_chance(sim, sim->drop_percent));
-    if (lost || sim->network.count > SIM_MAX_IN_FLIGHT) {
+    bool dropped =
+        from != to && (sim->partitioned[(from - 1) * sim->node_count + to - 1] || sim_chance(sim, sim->drop_percent));
+    if (dropped || sim->network.count > SIM_MAX_IN_FLIGHT) {
         return;
     }
     sim_network_schedule(sim, from, to, frame);
@@ -89,7 +90,7 @@
     }
     *message = network->heap[0];
     network->heap[0] = network->heap[--network->count];
-    sim_heap_sink(network);
+    sim_heap_sift_down(network);
     return true;
 }
 
