--- a/src/sim/sim_operators.c
+++ b/src/sim/sim_operators.c
@@ -1,10 +1,12 @@
 /*
- * Operators: they race each other with equal revisions and send again after
- * lost answers.
+ * Operators: they change the configuration concurrently and retry changes whose
+ * responses were lost.
  *
- * Oracle of the configuration: every revision is given to one change, an
- * acknowledged change stays, a read never shows less than what was
- * acknowledged before it began, and gateways end up at the last revision.
+ * Invariants of the configuration: each revision belongs to one change, an
+ * acknowledged change is never lost, a read returns at least the highest
+ * revision acknowledged before it started, and at the end all replicas and
+ * gateways have at least the highest acknowledged revision and the last
+ * acknowledged content of each resource.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -14,14 +16,14 @@
 #include "base/message.h"
 #include "sim/sim.h"
 
-enum { SIM_OPERATOR_PAUSE_MS = 150, SIM_OPERATOR_NAMES = 3 };
+enum { SIM_OPERATOR_MAX_PAUSE_MS = 150, SIM_OPERATOR_RESOURCES = 3 };
 
 void sim_operators_init(struct sim *sim)
 {
     for (uint32_t i = 0; i < sim->options.operators; i++) {
         struct sim_operator *admin = &sim->operators[i];
         admin->sim = sim;
-        admin->number = i;
+        admin->index = i;
         admin->due_ms = 600 + sim_random(sim, 500);
     }
 }
@@ -30,48 +32,48 @@
                               const void *message)
 {
     struct sim *sim = admin->sim;
-    admin->ticket = (++sim->tickets << 8) | admin->number;
+    admin->correlation_id = (++sim->last_id << 8) | admin->index;
     admin->waiting = true;
-    sim_submit(sim, admin->gateway, STATE_CONFIG_GROUP, kind, fields, message, (admin->ticket << 1) | 1U);
+    sim_submit(sim, admin->gateway, STATE_CONFIG_GROUP, kind, fields, message, (admin->correlation_id << 1) | 1U);
 }
 
 static void sim_operator_read(struct sim_operator *admin)
 {
     ConfigQuery query = {0};
     admin->reading = true;
-    admin->read_floor = admin->sim->acknowledged_revision;
+    admin->min_read_revision = admin->sim->acknowledged_revision;
     sim_operator_send(admin, REQUEST_CONFIG, ConfigQuery_fields, &query);
 }
 
 static void sim_operator_change(struct sim_operator *admin)
 {
     struct sim *sim = admin->sim;
-    if (!admin->undecided) {
-        admin->changes++;
-        snprintf(admin->request_id, sizeof(admin->request_id), "r%u-%" PRIu64, admin->number, admin->changes);
-        snprintf(admin->name, sizeof(admin->name), "n%u", sim_random(sim, SIM_OPERATOR_NAMES));
-        snprintf(admin->value, sizeof(admin->value), "v%u-%" PRIu64, admin->number, admin->changes);
+    if (!admin->outcome_unknown) {
+        admin->change_count++;
+        snprintf(admin->request_id, sizeof(admin->request_id), "r%u-%" PRIu64, admin->index, admin->change_count);
+        snprintf(admin->name, sizeof(admin->name), "n%u", sim_random(sim, SIM_OPERATOR_RESOURCES));
+        snprintf(admin->value, sizeof(admin->value), "v%u-%" PRIu64, admin->index, admin->change_count);
     }
     Entry entry = {0};
     entry.which_command = Entry_config_change_tag;
     ConfigChange *change = &entry.command.config_change;
     change->request_id = admin->request_id;
-    change->expected_revision = admin->expected;
-    change->operation = admin->expected <= SIM_OPERATOR_NAMES ? CONFIG_CREATE : CONFIG_UPDATE;
+    change->expected_revision = admin->expected_revision;
+    change->operation = admin->expected_revision <= SIM_OPERATOR_RESOURCES ? CONFIG_CREATE : CONFIG_UPDATE;
     change->kind = RESOURCE_POLICY;
     change->name = admin->name;
     change->body = view_of_string(admin->value);
     admin->reading = false;
-    admin->undecided = true;
+    admin->outcome_unknown = true;
     sim_operator_send(admin, REQUEST_PROPOSE, Entry_fields, &entry);
 }
 
-static void sim_operator_accepted(struct sim_operator *admin, uint64_t revision)
+static void sim_operator_record_change(struct sim_operator *admin, uint64_t revision)
 {
     struct sim *sim = admin->sim;
     for (size_t i = 0; i < sim->change_count; i++) {
         if (sim->changes[i].revision == revision) {
-            sim_fail(sim, "configuration: revision %llu was given twice", (unsigned long long)revision);
+            sim_fail(sim, "configuration: two changes have revision %llu", (unsigned long long)revision);
         }
     }
     sim->changes = memory_resize(sim->changes, (sim->change_count + 1) * sizeof(*sim->changes));
@@ -85,37 +87,37 @@
     }
 }
 
-static void sim_operator_result(struct sim_operator *admin, const EntryResult *result)
+static void sim_operator_handle_result(struct sim_operator *admin, const EntryResult *result)
 {
-    admin->undecided = false;
+    admin->outcome_unknown = false;
     if (result->code == RESULT_OK) {
-        sim_operator_accepted(admin, result->revision);
+        sim_operator_record_change(admin, result->revision);
     } else if (result->code == RESULT_ABORTED) {
-        admin->sim->counters.races_lost++;
+        admin->sim->counters.revision_conflicts++;
     }
 }
 
-static void sim_operator_state(struct sim_operator *admin, const ConfigState *state)
+static void sim_operator_check_read(struct sim_operator *admin, const ConfigState *state)
 {
-    if (state->revision < admin->read_floor) {
-        sim_fail(admin->sim, "configuration: a read gave revision %llu after %llu was acknowledged",
-                 (unsigned long long)state->revision, (unsigned long long)admin->read_floor);
+    if (state->revision < admin->min_read_revision) {
+        sim_fail(admin->sim, "configuration: a read returned revision %llu after %llu was acknowledged",
+                 (unsigned long long)state->revision, (unsigned long long)admin->min_read_revision);
     }
-    admin->expected = state->revision;
+    admin->expected_revision = state->revision;
 }
 
 void sim_operators_complete(struct sim *sim, uint64_t token, ResultCode code, struct view body)
 {
-    uint64_t ticket = token >> 1;
-    uint32_t number = (uint32_t)(ticket & 0xff);
-    bool mine = (token & 1) == 1 && number < sim->options.operators && sim->operators[number].ticket == ticket &&
-                sim->operators[number].waiting;
-    if (!mine) {
+    uint64_t correlation_id = token >> 1;
+    uint32_t index = (uint32_t)(correlation_id & 0xff);
+    bool is_current = (token & 1) == 1 && index < sim->options.operators &&
+                      sim->operators[index].correlation_id == correlation_id && sim->operators[index].waiting;
+    if (!is_current) {
         return;
     }
-    struct sim_operator *admin = &sim->operators[number];
+    struct sim_operator *admin = &sim->operators[index];
     admin->waiting = false;
-    admin->due_ms = sim->now_ms + sim_random(sim, SIM_OPERATOR_PAUSE_MS);
+    admin->due_ms = sim->now_ms + sim_random(sim, SIM_OPERATOR_MAX_PAUSE_MS);
     if (code != RESULT_OK) {
         admin->gateway = sim_pick_gateway(sim);
         return;
@@ -123,26 +125,26 @@
     if (admin->reading) {
         ConfigState state = {0};
         if (message_decode(body, ConfigState_fields, &state)) {
-            sim_operator_state(admin, &state);
+            sim_operator_check_read(admin, &state);
             message_free(ConfigState_fields, &state);
         }
         return;
     }
     EntryResult result = {0};
     if (message_decode(body, EntryResult_fields, &result)) {
-        sim_operator_result(admin, &result);
+        sim_operator_handle_result(admin, &result);
         message_free(EntryResult_fields, &result);
     }
 }
 
-void sim_operators_gateway_lost(struct sim *sim, uint32_t gateway)
+void sim_operators_gateway_stopped(struct sim *sim, uint32_t gateway)
 {
     for (uint32_t i = 0; i < sim->options.operators; i++) {
         struct sim_operator *admin = &sim->operators[i];
         if (admin->gateway == gateway) {
             admin->waiting = false;
             admin->gateway = sim_pick_gateway(sim);
-            admin->due_ms = sim->now_ms + SIM_OPERATOR_PAUSE_MS;
+            admin->due_ms = sim->now_ms + SIM_OPERATOR_MAX_PAUSE_MS;
         }
     }
 }
@@ -157,8 +159,8 @@
     if (!node->up || node->frozen) {
         return;
     }
-    /* An undecided change is sent again, to learn its outcome. */
-    if (admin->undecided || (admin->reading && !sim->calm)) {
+    /* A change with an unknown outcome is retried with the same request id. */
+    if (admin->outcome_unknown || (admin->reading && !sim->settling)) {
         sim_operator_change(admin);
     } else {
         sim_operator_read(admin);
@@ -187,13 +189,13 @@
     return last;
 }
 
-static void sim_check_store(struct sim *sim, uint32_t node, const struct config_store *store)
+static void sim_check_config(struct sim *sim, uint32_t node, const struct config_store *store)
 {
     if (store->revision < sim->acknowledged_revision) {
-        sim_fail(sim, "configuration: node %u is at revision %llu, %llu was acknowledged", node,
+        sim_fail(sim, "configuration: node %u has revision %llu, but %llu was acknowledged", node,
                  (unsigned long long)store->revision, (unsigned long long)sim->acknowledged_revision);
     }
-    for (uint32_t i = 0; i < SIM_OPERATOR_NAMES; i++) {
+    for (uint32_t i = 0; i < SIM_OPERATOR_RESOURCES; i++) {
         char name[32];
         snprintf(name, sizeof(name), "n%u", i);
         const struct sim_change *last = sim_last_change(sim, name);
@@ -201,7 +203,7 @@
         bool same = last == NULL || (item != NULL && item->length == strlen(last->value) &&
                                      memcmp(item->body, last->value, item->length) == 0);
         if (!same) {
-            sim_fail(sim, "configuration: node %u does not hold the last change of %s", node, name);
+            sim_fail(sim, "configuration: node %u does not have the last acknowledged change of %s", node, name);
         }
     }
 }
@@ -209,14 +211,14 @@
 void sim_operators_check(struct sim *sim)
 {
     for (uint32_t i = 0; i < sim->options.operators; i++) {
-        if (sim->operators[i].undecided) {
-            sim_fail(sim, "configuration: a change of operator %u is undecided at the end", i);
+        if (sim->operators[i].outcome_unknown) {
+            sim_fail(sim, "configuration: a change of operator %u has no response at the end", i);
         }
     }
     for (uint32_t i = 0; i < sim->node_count && !sim->failed; i++) {
         const struct sim_node *node = &sim->nodes[i];
         const struct config_store *store =
             node->has_replica ? &node->replica.groups[0].machine.config : &node->client.store;
-        sim_check_store(sim, node->id, store);
+        sim_check_config(sim, node->id, store);
     }
 }
--- a/src/store/file.c
+++ b/src/store/file.c
@@ -8,13 +8,13 @@
 #include <sys/stat.h>
 #include <unistd.h>
 
-enum { FILE_READ_STEP = 1 << 16 };
+enum { FILE_READ_CHUNK_BYTES = 1 << 16 };
 
-bool file_write_all(int file, const void *data, size_t length)
+bool file_write_all(int fd, const void *data, size_t length)
 {
     const uint8_t *position = data;
     while (length > 0) {
-        ssize_t written = write(file, position, length);
+        ssize_t written = write(fd, position, length);
         if (written < 0 && errno == EINTR) {
             continue;
         }
@@ -29,89 +29,89 @@
 
 bool file_read_all(const char *path, struct buffer *out)
 {
-    int file = open(path, O_RDONLY | O_CLOEXEC);
-    if (file < 0) {
+    int fd = open(path, O_RDONLY | O_CLOEXEC);
+    if (fd < 0) {
         return false;
     }
-    ssize_t got = 0;
+    ssize_t count = 0;
     do {
-        got = read(file, buffer_reserve(out, FILE_READ_STEP), FILE_READ_STEP);
-        out->length += got > 0 ? (size_t)got : 0;
-    } while (got > 0 || (got < 0 && errno == EINTR));
-    close(file);
-    return got == 0;
+        count = read(fd, buffer_reserve(out, FILE_READ_CHUNK_BYTES), FILE_READ_CHUNK_BYTES);
+        out->length += count > 0 ? (size_t)count : 0;
+    } while (count > 0 || (count < 0 && errno == EINTR));
+    close(fd);
+    return count == 0;
 }
 
-char *file_path(const char *folder, const char *name)
+char *file_path(const char *directory, const char *name)
 {
     struct buffer path = {0};
-    buffer_printf(&path, "%s/%s", folder, name);
+    buffer_printf(&path, "%s/%s", directory, name);
     return buffer_text(&path);
 }
 
-bool file_sync_folder(const char *folder)
+bool file_sync_directory(const char *directory)
 {
-    int file = open(folder, O_RDONLY | O_DIRECTORY | O_CLOEXEC);
-    if (file < 0) {
+    int fd = open(directory, O_RDONLY | O_DIRECTORY | O_CLOEXEC);
+    if (fd < 0) {
         return false;
     }
-    bool synced = fsync(file) == 0;
-    close(file);
+    bool synced = fsync(fd) == 0;
+    close(fd);
     return synced;
 }
 
-bool file_replace(const char *folder, const char *name, struct view content)
+bool file_replace(const char *directory, const char *name, struct view content)
 {
-    bool done = false;
+    bool replaced = false;
     struct buffer temporary = {0};
-    buffer_printf(&temporary, "%s/%s.new", folder, name);
-    char *final_path = file_path(folder, name);
-    int file = open(buffer_text(&temporary), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
-    if (file < 0) {
+    buffer_printf(&temporary, "%s/%s.new", directory, name);
+    char *final_path = file_path(directory, name);
+    int fd = open(buffer_text(&temporary), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
+    if (fd < 0) {
         goto out;
     }
-    bool written = file_write_all(file, content.data, content.length) && fsync(file) == 0;
-    if (close(file) != 0 || !written) {
+    bool written = file_write_all(fd, content.data, content.length) && fsync(fd) == 0;
+    if (close(fd) != 0 || !written) {
         goto out;
     }
     if (rename(buffer_text(&temporary), final_path) != 0) {
         goto out;
     }
-    done = file_sync_folder(folder);
+    replaced = file_sync_directory(directory);
 out:
-    if (!done) {
-        int reason = errno;
-        unlink(buffer_text(&temporary)); /* on a full disk its part would stay in the way */
-        errno = reason;
+    if (!replaced) {
+        int saved_errno = errno;
+        unlink(buffer_text(&temporary)); /* it may take up space on a full disk */
+        errno = saved_errno;
     }
     buffer_close(&temporary);
     free(final_path);
-    return done;
+    return replaced;
 }
 
-/* Makes one folder. Its name has to last in the folder above, or all that is ever synced in it is lost with it. */
-static bool file_make_one(const char *path)
+/* Without the sync of the parent, a power loss may remove the directory with all files in it, even synced ones. */
+static bool file_make_leaf_directory(const char *path)
 {
     if (mkdir(path, 0700) != 0) {
         return errno == EEXIST;
     }
     const char *slash = strrchr(path, '/');
-    char *above = slash == NULL ? text_copy(".") : memory_copy(path, slash == path ? 1 : (size_t)(slash - path));
-    bool synced = file_sync_folder(above);
-    free(above);
+    char *parent = slash == NULL ? text_copy(".") : memory_copy(path, slash == path ? 1 : (size_t)(slash - path));
+    bool synced = file_sync_directory(parent);
+    free(parent);
     return synced;
 }
 
-bool file_make_folder(const char *folder)
+bool file_make_directory(const char *directory)
 {
-    char *path = text_copy(folder);
-    bool made = true;
-    for (char *slash = strchr(path + 1, '/'); made && slash != NULL; slash = strchr(slash + 1, '/')) {
+    char *path = text_copy(directory);
+    bool created = true;
+    for (char *slash = strchr(path + 1, '/'); created && slash != NULL; slash = strchr(slash + 1, '/')) {
         *slash = '\0';
-        made = file_make_one(path);
+        created = file_make_leaf_directory(path);
         *slash = '/';
     }
-    made = made && file_make_one(path);
+    created = created && file_make_leaf_directory(path);
     free(path);
-    return made;
+    return created;
 }
--- a/src/store/file.h
+++ b/src/store/file.h
@@ -1,7 +1,6 @@
 /**
  * @file file.h
- * Files of the data folder. Functions return false, or -1, on failure and
- * leave errno set.
+ * File helpers. Functions that return bool return false and set errno on failure.
  */
 #ifndef BANKBANK_STORE_FILE_H
 #define BANKBANK_STORE_FILE_H
@@ -11,22 +10,22 @@
 
 #include "base/buffer.h"
 
-/** Writes all bytes, going on after short writes. */
-bool file_write_all(int file, const void *data, size_t length);
+/** Writes all bytes; retries after short writes and EINTR. */
+bool file_write_all(int fd, const void *data, size_t length);
 
 /** Appends the whole file to `out`. */
 bool file_read_all(const char *path, struct buffer *out);
 
-/** Durably replaces `path`: writes beside it, syncs, renames, syncs the folder. */
-bool file_replace(const char *folder, const char *name, struct view content);
+/** Atomically and durably replaces the file `name`: writes and syncs NAME.new, renames it and syncs the directory. */
+bool file_replace(const char *directory, const char *name, struct view content);
 
-/** Syncs a folder, so that created and renamed names last. */
-bool file_sync_folder(const char *folder);
+/** Makes files created or renamed in the directory survive a power loss. */
+bool file_sync_directory(const char *directory);
 
-/** Durably creates a folder and its parents. */
-bool file_make_folder(const char *folder);
+/** Durably creates the directory and its parents. */
+bool file_make_directory(const char *directory);
 
-/** Returns "folder/name"; the caller frees it. */
-char *file_path(const char *folder, const char *name);
+/** Returns "directory/name"; the caller frees it. */
+char *file_path(const char *directory, const char *name);
 
 #endif
--- a/src/store/history_store.h
+++ b/src/store/history_store.h
@@ -1,11 +1,10 @@
 /**
  * @file history_store.h
- * Conversation texts in append-only files beside the log. The log holds every
- * text too until the next snapshot; so this store is synced only then, and a
- * restart begins a new file and lets the replay write again what was lost.
- * For the same reason the last texts may wait in memory for a write of many,
- * or for a full disk to have room.
- * A sweep deletes the files whose texts were all dropped.
+ * Conversation texts in append-only segment files. The log also holds each text
+ * until the next snapshot, so this store is synced only at a snapshot, and the
+ * latest texts may stay in a write buffer. After a restart, the replay of the
+ * log appends them again, to a new segment. A sweep deletes the segments whose
+ * texts were all released.
  */
 #ifndef BANKBANK_STORE_HISTORY_STORE_H
 #define BANKBANK_STORE_HISTORY_STORE_H
@@ -13,43 +12,40 @@
 #include "core/history.h"
 
 enum {
-    HISTORY_SEGMENT_BYTES = 128 << 20, /**< Size at which a new file begins, by default. */
-    HISTORY_TAIL_BYTES = 64 << 10      /**< Texts that wait for a write. */
+    HISTORY_SEGMENT_BYTES = 128 << 20,    /**< Default for history_store.segment_bytes. */
+    HISTORY_WRITE_BUFFER_BYTES = 64 << 10 /**< Size at which the buffer is flushed. */
 };
 
-/** One file. */
 struct history_segment {
-    uint32_t number;     /**< Part of the file name. */
-    int file;            /**< Descriptor. */
-    uint64_t size;       /**< Bytes written. */
-    uint64_t live_bytes; /**< Bytes of texts in use. */
-    bool dirty;          /**< Written since its last sync. */
+    uint32_t number; /**< Part of the file name. */
+    int fd;
+    uint64_t size;       /**< Without buffered texts. */
+    uint64_t live_bytes; /**< Texts in use, including buffered ones. */
+    bool dirty;          /**< Written to since its last sync. */
 };
 
-/** The store. */
 struct history_store {
-    char *folder;                     /**< Folder of the files. */
-    struct history_segment *segments; /**< Oldest first; the last one is written. */
-    size_t segment_count;             /**< Files. */
-    uint64_t segment_bytes;           /**< Size at which a new file begins; 0: HISTORY_SEGMENT_BYTES. */
-    struct buffer tail;               /**< Texts of the last file that are not written yet. */
-    bool failed;                      /**< A write failed. */
-    char error[512];                  /**< What failed, with its place. */
+    char *directory;
+    struct history_segment *segments; /**< Oldest first; the last one is appended to. */
+    size_t segment_count;
+    uint64_t segment_bytes;     /**< Size at which a new segment starts; 0: HISTORY_SEGMENT_BYTES. */
+    struct buffer write_buffer; /**< Texts not yet written to the last segment. */
+    bool failed;                /**< An error other than a full disk, or a failed sync; no more texts are stored. */
+    char error[512];
 };
 
-/** Opens the store and begins a new file; false: see `error`. */
-bool history_store_open(struct history_store *store, const char *folder);
+/** Starts a new segment. False: see `error`. */
+bool history_store_open(struct history_store *store, const char *directory);
 
-/** Closes the files. */
 void history_store_close(struct history_store *store);
 
-/** Deletes files, the last one aside, of which no text is in use. */
+/** Deletes segments without live texts, except the active one. */
 void history_store_sweep(struct history_store *store);
 
-/** Makes all texts durable; false: see `error`. Unless `failed` is set the disk is full, and it may be tried again. */
+/** Makes all texts durable. False: see `error`; unless `failed` is set, a retry may succeed (disk full). */
 bool history_store_sync(struct history_store *store);
 
-/** The operations given to the ledger. */
+/** Callbacks that access the store (core/history.h). */
 struct history_io history_store_io(struct history_store *store);
 
 #endif
--- a/src/store/identity.h
+++ b/src/store/identity.h
@@ -1,29 +1,28 @@
 /**
  * @file identity.h
- * Who a state replica is, where nobody lists the replicas: a random node id,
- * made at the first start on an empty disk and synced before it is used, and
- * the members with which the replica's log begins, once it belongs to a group.
+ * Stored identity of a state replica: a random node id, made durable before it
+ * is used, and, once the replica belongs to a group, the members at the start
+ * of its log.
  *
- * A machine that returns with an empty disk gets another id, so that it is a
- * new member and never votes as the old one.
+ * A machine that restarts with an empty disk gets another id: it has lost its
+ * votes, and must not vote again as the same member.
  */
 #ifndef BANKBANK_STORE_IDENTITY_H
 #define BANKBANK_STORE_IDENTITY_H
 
 #include "core/raft.h"
 
-/** A replica's identity. */
 struct identity {
-    uint32_t node;               /**< Node id, never RAFT_NO_NODE. */
-    bool formed;                 /**< It belongs to a group. */
-    struct raft_members members; /**< Members at the begin of its log. */
+    uint32_t node; /**< Never RAFT_NO_NODE. */
+    bool has_group;
+    struct raft_members members; /**< At the start of the log. */
 };
 
-/** Loads the identity of a data folder, or makes one with the id `fresh_node`, durable either way; false: the disk
- * failed. */
-bool identity_load(const char *folder, uint32_t fresh_node, struct identity *identity);
+/** Loads the identity, or creates one with the id `new_node_id`. It is durable when the call returns true. False: it
+ * could not be read, decoded or written. */
+bool identity_load(const char *directory, uint32_t new_node_id, struct identity *identity);
 
-/** Durably notes that the replica belongs to a group that began with `members`. */
-bool identity_form(const char *folder, struct identity *identity, const struct raft_members *members);
+/** Durably records that the replica belongs to a group whose log starts with `members`. */
+bool identity_set_group(const char *directory, struct identity *identity, const struct raft_members *members);
 
 #endif
--- a/src/store/replica_disk.c
+++ b/src/store/replica_disk.c
@@ -20,12 +20,13 @@
     log_store_snapshot_abort(disk, group);
 }
 
-static bool disk_snapshot_read(void *disk, uint32_t group, uint64_t index, uint64_t at, size_t most, struct buffer *out)
+static bool disk_snapshot_read(void *disk, uint32_t group, uint64_t index, uint64_t offset, size_t max_bytes,
+                               struct buffer *out)
 {
-    return log_store_snapshot_read(disk, group, index, at, most, out);
+    return log_store_snapshot_read(disk, group, index, offset, max_bytes, out);
 }
 
-void replica_disk_fill(struct replica_io *io, struct log_store *log)
+void replica_disk_set_callbacks(struct replica_io *io, struct log_store *log)
 {
     io->disk = log;
     io->save_state = disk_save_state;
--- a/src/store/replica_disk.h
+++ b/src/store/replica_disk.h
@@ -1,6 +1,6 @@
 /**
  * @file replica_disk.h
- * The effects of a replica on its log that need nothing else of its host.
+ * Replica callbacks backed by the log store.
  */
 #ifndef BANKBANK_STORE_REPLICA_DISK_H
 #define BANKBANK_STORE_REPLICA_DISK_H
@@ -8,7 +8,7 @@
 #include "core/replica.h"
 #include "store/log_store.h"
 
-/** Sets the operations of `io` that write to and read from the disk alone. */
-void replica_disk_fill(struct replica_io *io, struct log_store *log);
+/** Sets `io->disk` and the callbacks that need nothing but the log store; the caller sets the others. */
+void replica_disk_set_callbacks(struct replica_io *io, struct log_store *log);
 
 #endif
--- a/src/store/replica_restore.c
+++ b/src/store/replica_restore.c
@@ -23,14 +23,14 @@
     raft_restore_reset(&replica->groups[group].raft);
 }
 
-bool replica_restore_log(struct replica *replica, struct log_store *log, const char *folder)
+bool replica_restore_log(struct replica *replica, struct log_store *log, const char *directory)
 {
-    struct log_restore restore = {
+    struct log_restore_callbacks restore = {
         .context = replica,
         .snapshot = restore_snapshot,
         .state = restore_state,
         .entry = restore_entry,
         .reset = restore_reset,
     };
-    return log_store_open(log, folder, replica->config.groups, &restore);
+    return log_store_open(log, directory, replica->config.groups, &restore);
 }
--- a/src/store/replica_restore.h
+++ b/src/store/replica_restore.h
@@ -1,7 +1,7 @@
 /**
  * @file replica_restore.h
- * Brings a replica back from its synced log: snapshots, votes and entries, in
- * the order in which they were written.
+ * Restores a replica from its log store: snapshots first, then terms, votes and
+ * entries in write order.
  */
 #ifndef BANKBANK_STORE_REPLICA_RESTORE_H
 #define BANKBANK_STORE_REPLICA_RESTORE_H
@@ -9,10 +9,7 @@
 #include "core/replica.h"
 #include "store/log_store.h"
 
-/**
- * Opens the log in `folder` and restores `replica`, which was initialized and
- * not started, from it. False: see log->error.
- */
-bool replica_restore_log(struct replica *replica, struct log_store *log, const char *folder);
+/** Opens `log` and restores `replica`, which must be initialized and not yet started. False: see log->error. */
+bool replica_restore_log(struct replica *replica, struct log_store *log, const char *directory);
 
 #endif
--- a/src/store/snapshot_file.h
+++ b/src/store/snapshot_file.h
@@ -1,11 +1,11 @@
 /**
  * @file snapshot_file.h
- * The snapshot of one group in a file. It is written in pieces beside the
- * stored one and takes its place when it is whole and synced, and is read in
- * pieces: its size is no matter of memory.
+ * Snapshot file of a group. A new snapshot is written beside the stored one and
+ * replaces it once it is complete and synced. Snapshots are written and read in
+ * blocks, so that their size is not limited by memory.
  *
- * File: header, encoded Members, state. Integers are in host order (the files
- * stay on their machine).
+ * Format: header, encoded Members, state. Integers are in host byte order: the
+ * files stay on their machine.
  */
 #ifndef BANKBANK_STORE_SNAPSHOT_FILE_H
 #define BANKBANK_STORE_SNAPSHOT_FILE_H
@@ -13,61 +13,60 @@
 #include "base/buffer.h"
 #include "core/raft.h"
 
-enum { SNAPSHOT_FILE_BLOCK_BYTES = 64 << 10 /**< Written and checked at a time. */ };
+enum { SNAPSHOT_FILE_BLOCK_BYTES = 64 << 10 };
 
 struct XXH64_state_s;
 
-/** A snapshot that is being written; all zero: none is. */
+/** The snapshot being written; all zero: none. */
 typedef struct snapshot_writer_t {
-    bool active;                    /**< It was begun. */
-    int file;                       /**< Descriptor. */
-    struct raft_snapshot snapshot;  /**< What it covers. */
-    uint32_t members_length;        /**< Bytes of the encoded members. */
-    uint64_t state_length;          /**< Bytes of state so far. */
-    struct XXH64_state_s *checksum; /**< Of members and state so far. */
-    struct buffer block;            /**< Bytes that are not in the file yet. */
+    bool active;
+    int fd;
+    struct raft_snapshot snapshot;
+    uint32_t members_length;        /**< Encoded, in bytes. */
+    uint64_t state_length;          /**< Bytes appended so far. */
+    struct XXH64_state_s *checksum; /**< Over members and state so far. */
+    struct buffer block;            /**< Not yet written to the file. */
 } snapshot_writer_t;
 
-/** The stored snapshot; all zero: there is none. */
-typedef struct snapshot_stored_t {
-    bool open;                     /**< There is one. */
-    int file;                      /**< Descriptor. */
-    struct raft_snapshot snapshot; /**< What it covers. */
-    uint64_t state_at;             /**< Where the state begins. */
-    uint64_t state_length;         /**< Its bytes. */
-} snapshot_stored_t;
+/** The stored snapshot; all zero: none. */
+typedef struct snapshot_file_t {
+    bool open;
+    int fd;
+    struct raft_snapshot snapshot;
+    uint64_t state_offset; /**< In the file. */
+    uint64_t state_length; /**< In bytes. */
+} snapshot_file_t;
 
-/** Outcome of opening the stored snapshot. */
-typedef enum snapshot_open_t {
-    SNAPSHOT_OPEN_DONE,    /**< Its checksum holds. */
-    SNAPSHOT_OPEN_NONE,    /**< There is none. */
-    SNAPSHOT_OPEN_DAMAGED, /**< It is not what was written. */
-    SNAPSHOT_OPEN_FAILED   /**< It cannot be read, see errno. */
-} snapshot_open_t;
+typedef enum snapshot_open_result_t {
+    SNAPSHOT_OPEN_OK,
+    SNAPSHOT_OPEN_NONE,    /**< The file does not exist. */
+    SNAPSHOT_OPEN_CORRUPT, /**< Header, size, checksum or members are invalid. */
+    SNAPSHOT_OPEN_FAILED   /**< See errno. */
+} snapshot_open_result_t;
 
-/** Begins a snapshot; false: see errno. */
-bool snapshot_writer_begin(snapshot_writer_t *writer, const char *folder, uint32_t group,
+/** False: see errno. */
+bool snapshot_writer_begin(snapshot_writer_t *writer, const char *directory, uint32_t group,
                            const struct raft_snapshot *snapshot);
 
-/** Adds bytes of the state; false: see errno, and it has to be given up. */
-bool snapshot_writer_put(snapshot_writer_t *writer, struct view bytes);
+/** Appends bytes of the state. False: see errno; the caller must then call snapshot_writer_abort(). */
+bool snapshot_writer_append(snapshot_writer_t *writer, struct view bytes);
 
-/** Puts it durably in place of `stored`, which then is the new one; false: see errno, and it is given up. */
-bool snapshot_writer_commit(snapshot_writer_t *writer, const char *folder, uint32_t group, snapshot_stored_t *stored);
+/** Durably replaces the stored snapshot, and sets `stored` to the new one. False: see errno; the new snapshot is
+ * discarded. */
+bool snapshot_writer_commit(snapshot_writer_t *writer, const char *directory, uint32_t group, snapshot_file_t *stored);
 
-/** Gives it up. */
-void snapshot_writer_abort(snapshot_writer_t *writer, const char *folder, uint32_t group);
+/** Discards the snapshot being written, if any; keeps errno. */
+void snapshot_writer_abort(snapshot_writer_t *writer, const char *directory, uint32_t group);
 
-/** Opens and checks the stored snapshot of a group. */
-snapshot_open_t snapshot_stored_open(snapshot_stored_t *stored, const char *folder, uint32_t group);
+/** Opens a group's stored snapshot and verifies its checksum. */
+snapshot_open_result_t snapshot_file_open(snapshot_file_t *stored, const char *directory, uint32_t group);
 
-/** Appends up to `most` bytes of its state from `at` on; false: they cannot be read. */
-bool snapshot_stored_read(const snapshot_stored_t *stored, uint64_t at, size_t most, struct buffer *out);
+/** Appends up to `max_bytes` of the state, from `offset` on, to `out`. False: they cannot be read. */
+bool snapshot_file_read(const snapshot_file_t *stored, uint64_t offset, size_t max_bytes, struct buffer *out);
 
-/** Closes it. */
-void snapshot_stored_close(snapshot_stored_t *stored);
+void snapshot_file_close(snapshot_file_t *stored);
 
-/** Path of a group's stored snapshot; the caller frees it. */
-char *snapshot_file_path(const char *folder, uint32_t group);
+/** Path of the stored snapshot; the caller frees it. */
+char *snapshot_file_path(const char *directory, uint32_t group);
 
 #endif
--- a/tests/clients/clients.mjs
+++ b/tests/clients/clients.mjs
@@ -1,4 +1,4 @@
-// Public clients against a daemon: operators first, then callers.
+// Tests a daemon with public client libraries: Connect for operators, OpenAI for callers.
 import assert from "node:assert/strict";
 import { readFileSync } from "node:fs";
 import { createFileRegistry, fromBinary } from "@bufbuild/protobuf";
@@ -28,15 +28,15 @@
     requestId: "pool-1",
     pool: { name: "agents", model: "agent-model", engines },
   });
-  assert.equal(again.revision, created.revision, "a resent change gets the first answer");
+  assert.equal(again.revision, created.revision, "a retried change returns the first response");
   await operators.createPolicy({ requestId: "policy-1", policy: { name: "default", pool: "agents" } });
   const listed = await operators.listPools({});
   assert.deepEqual(listed.pools.map((pool) => pool.name), ["agents"]);
   assert.equal(listed.pools[0].engines.length, 2);
-  const lost = await operators
+  const stale = await operators
     .createTenant({ requestId: "t-1", expectedRevision: created.revision, tenant: { name: "bank", apiKey: "bank-key" } })
     .then(() => null, (error) => ConnectError.from(error));
-  assert.equal(lost?.code, Code.Aborted, "a change at an old revision is aborted");
+  assert.equal(stale?.code, Code.Aborted, "a change with an outdated expected revision is aborted");
   const missing = await operators.getService({ name: "none" }).then(() => null, (error) => ConnectError.from(error));
   assert.equal(missing?.code, Code.NotFound);
   const status = await operators.getStatus({});
@@ -84,7 +84,7 @@
   assert.equal(history.messages[3].content, text);
 
   const replay = await ask(1, "What may I borrow?", false);
-  assert.deepEqual(replay, first, "the same call gives the same answer");
+  assert.deepEqual(replay, first, "a retried call returns the first response");
   const conflict = await ask(1, "Something else?", false).then(() => null, (error) => error);
   assert.ok(conflict instanceof OpenAI.APIError);
   assert.equal(conflict.status, 409);
--- a/tests/clients/free-ports.cjs
+++ b/tests/clients/free-ports.cjs
@@ -1,4 +1,4 @@
-// Prints as many free ports as asked: bound all at once, and given back before they are printed.
+// Prints the given number of free ports: binds all of them together, so that they differ, and releases them.
 const net = require("node:net");
 
 const count = Number(process.argv[2]);
--- a/tests/fuzz/fuzz_decode.c
+++ b/tests/fuzz/fuzz_decode.c
@@ -1,4 +1,4 @@
-/* Fuzzes what reads bytes from others: frames, entries, snapshots, events of a stream. */
+/* Fuzzes the decoders of untrusted input: frames, entries, snapshots, member lists and server-sent events. */
 #include "base/message.h"
 #include "control.pb.h"
 #include "core/raft.h"
--- a/tests/fuzz/fuzz_fleet.c
+++ b/tests/fuzz/fuzz_fleet.c
@@ -1,14 +1,13 @@
 /*
- * Fuzzes a whole simulated fleet: the input decides what the schedule's seed
- * decides otherwise (faults, delays, what callers and operators do next), until
- * it is used up. The simulator's oracle checks every invariant.
+ * Fuzzes a simulated fleet, checked by the simulator's oracle. The input replaces
+ * the random numbers of faults, delays, callers and operators until it is used up.
  */
 #include <stdio.h>
 #include <stdlib.h>
 
 #include "sim/sim.h"
 
-enum { FUZZ_SEED_BYTES = 2, FUZZ_CHAOS_MS = 2500, FUZZ_CALM_MS = 9000 };
+enum { FUZZ_SEED_BYTES = 2, FUZZ_FAULT_PHASE_MS = 2500, FUZZ_SETTLE_PHASE_MS = 9000 };
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size);
 
@@ -19,8 +18,8 @@
         return 0;
     }
     struct sim_options options = sim_options_of_seed((uint64_t)data[0] * 256U + data[1]);
-    options.chaos_ms = FUZZ_CHAOS_MS;
-    options.calm_ms = FUZZ_CALM_MS;
+    options.fault_phase_ms = FUZZ_FAULT_PHASE_MS;
+    options.settle_phase_ms = FUZZ_SETTLE_PHASE_MS;
     options.choices = data + FUZZ_SEED_BYTES;
     options.choice_count = size - FUZZ_SEED_BYTES;
     sim_run(&sim, &options);
--- a/tests/fuzz/fuzz_ledger.c
+++ b/tests/fuzz/fuzz_ledger.c
@@ -1,13 +1,13 @@
 /*
- * Stateful fuzz of the ledger against a simple oracle. Each command takes a few
- * bytes of the input. Named checks:
+ * Fuzzes the ledger against a model with a sequence of commands, each decoded
+ * from four bytes of input. Names of the checks:
  *
- *   order     a new call begins only after the one before is settled
- *   once      a call that may not repeat has one attempt unless it did not run
- *   first     the first finish of the holding attempt wins; replays give it
- *   history   the stored history is the finished calls in order
- *   budget    spent plus reserved never exceeds the budget
- *   snapshot  a restored ledger goes on as the one that was saved
+ *   order     a new call begins only after the previous one is settled
+ *   once      a call that is not repeatable is not retried if it may have run
+ *   first     the first finish of the current attempt wins; replays return it
+ *   history   the stored history consists of the finished calls in order
+ *   budget    spent plus reserved tokens never exceed the budget
+ *   snapshot  a restored ledger behaves like the saved one
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -15,26 +15,26 @@
 
 #include "base/message.h"
 #include "core/ledger.h"
-#include "support/texts.h"
+#include "support/memory_history.h"
 
 enum { PROGRAMS = 3, MAX_CALLS = 32, BUDGET = 400, PROMPT_BOUND = 10, MAX_TOKENS = 20, ATTEMPTS = 8 };
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size);
 
-/* What the oracle knows of a call. */
+/* Expected state of a call. */
 struct model_call {
     bool finished;
     unsigned message;
     unsigned answer;
 };
 
-/* What it knows of a program. */
+/* Expected state of a program. */
 struct model {
     bool exists;
     bool ended;
     bool running;
     bool repeatable;
-    bool lost;       /* given up with an unknown outcome, may be repeated */
+    bool lost;       /* its attempt was aborted with an unknown outcome; may be retried */
     bool after_loss; /* an earlier attempt may have run */
     uint32_t next;
     unsigned attempt;
@@ -48,7 +48,7 @@
 static struct ledger ledger;
 static EntryResult result;
 static struct model models[PROGRAMS];
-static unsigned texts_made;
+static unsigned text_count;
 
 static void fail(const char *check, uint32_t program)
 {
@@ -92,11 +92,11 @@
 {
     struct model *model = &models[program];
     if (model->running && attempt == model->attempt && number == model->next) {
-        return; /* the same begin again */
+        return; /* repeated begin */
     }
     bool may_follow = owner_expired || model->lost;
     if (model->running && may_follow && number == model->next + 1) {
-        model->running = false; /* the lost call is left behind */
+        model->running = false; /* the lost call is abandoned */
         model->next++;
     }
     if (number != model->next || model->ended || !model->exists) {
@@ -107,7 +107,7 @@
     }
     if (!model->running) {
         model->repeatable = repeatable;
-        model->message = texts_made;
+        model->message = text_count;
     }
     model->after_loss = model->running;
     model->running = true;
@@ -127,8 +127,8 @@
     }
 }
 
-/* A lost attempt that cannot be followed settles its call. */
-static void note_settled_by_begin(uint32_t program, uint32_t number, bool owner_expired)
+/* A refused begin can settle a lost call with an unknown outcome, which advances the call number. */
+static void apply_refused_begin(uint32_t program, uint32_t number, bool owner_expired)
 {
     struct model *model = &models[program];
     const struct ledger_program *stored = ledger_find(&ledger, program_ids[program]);
@@ -145,7 +145,7 @@
     Entry entry = {0};
     uint32_t wanted = number == 0 ? models[program].next : number;
     bool owner_expired = (flags & 1) != 0;
-    snprintf(messages, sizeof(messages), "\"m%u\"", ++texts_made);
+    snprintf(messages, sizeof(messages), "\"m%u\"", ++text_count);
     entry.which_command = Entry_call_begin_tag;
     CallBegin *command = &entry.command.call_begin;
     command->program = (char *)(uintptr_t)program_ids[program];
@@ -162,7 +162,7 @@
     case RESULT_REPLAY: check_replay(program); break;
     case RESULT_UNKNOWN:
     case RESULT_BUDGET:
-    default: note_settled_by_begin(program, wanted, owner_expired); break;
+    default: apply_refused_begin(program, wanted, owner_expired); break;
     }
 }
 
@@ -172,7 +172,7 @@
     struct model *model = &models[program];
     Entry entry = {0};
     const struct ledger_program *stored = ledger_find(&ledger, program_ids[program]);
-    snprintf(answer, sizeof(answer), "\"a%u\"", ++texts_made);
+    snprintf(answer, sizeof(answer), "\"a%u\"", ++text_count);
     entry.which_command = Entry_call_finish_tag;
     CallFinish *command = &entry.command.call_finish;
     command->program = (char *)(uintptr_t)program_ids[program];
@@ -182,14 +182,14 @@
     command->prompt_tokens = stored == NULL ? 0 : stored->context_tokens + amount % PROMPT_BOUND;
     command->completion_tokens = amount % (model->granted + 1);
     command->engine = (char *)(uintptr_t) "http://engine";
-    bool holds = model->exists && model->running && number == model->next && attempt == model->attempt;
-    bool known = number < model->next && model->calls[number].finished;
+    bool current = model->exists && model->running && number == model->next && attempt == model->attempt;
+    bool already_finished = number < model->next && model->calls[number].finished;
     ResultCode code = apply(&entry, false);
-    if (code == RESULT_OK && holds) {
-        model->calls[number] = (struct model_call){true, model->message, texts_made};
+    if (code == RESULT_OK && current) {
+        model->calls[number] = (struct model_call){true, model->message, text_count};
         model->running = false;
         model->next++;
-    } else if (holds || (code == RESULT_OK && !known)) {
+    } else if (current || (code == RESULT_OK && !already_finished)) {
         fail("first", program);
     }
 }
@@ -207,16 +207,16 @@
     if (!model->exists || !model->running || attempt != model->attempt) {
         return;
     }
-    bool ran_maybe = outcome == ABORT_UNKNOWN || model->after_loss;
-    if (ran_maybe && model->repeatable) {
+    bool may_have_run = outcome == ABORT_UNKNOWN || model->after_loss;
+    if (may_have_run && model->repeatable) {
         model->lost = true;
         return;
     }
     model->running = false;
-    model->next += ran_maybe ? 1 : 0;
+    model->next += may_have_run ? 1 : 0;
 }
 
-/* The end of a parent ends its sub-program too. */
+/* Ends a program and its sub-program. */
 static void end(uint32_t program)
 {
     Entry entry = {0};
@@ -321,7 +321,7 @@
 {
     enum { COMMAND_BYTES = 4 };
     memset(models, 0, sizeof(models));
-    texts_made = 0;
+    text_count = 0;
     ledger_init(&ledger, &texts_history);
     for (size_t i = 0; i + COMMAND_BYTES <= size; i += COMMAND_BYTES) {
         run_command(data + i);
--- a/tests/fuzz/fuzz_messages.c
+++ b/tests/fuzz/fuzz_messages.c
@@ -1,4 +1,4 @@
-/* Fuzzes what reads from callers, servers, the platform and operators, by changing bytes of valid texts. */
+/* Fuzzes the parsers of HTTP messages, server-sent events and platform data by changing bytes of valid inputs. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -6,11 +6,11 @@
 #include "net/http_reader.h"
 #include "platform.h"
 
-enum { LARGEST = 2048, LIMIT = 4096 };
+enum { MAX_INPUT_BYTES = 2048, MAX_MESSAGE_BYTES = 4096 };
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size);
 
-static const char *const texts[] = {
+static const char *const seed_inputs[] = {
     "POST /a/b?c HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\nExpect: 100-continue\r\n\r\nhelloGET / HTTP/1.1\r\n\r\n",
     "POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\nTrailer: x\r\n\r\n3\r\nabc\r\n0\r\nx: y\r\n\r\n",
     "HTTP/1.1 200 OK\r\nBankbank-Request-Id: 1\r\nKeep-Alive: timeout=5\r\nContent-Length: 3\r\n\r\nabcHTTP/1.1",
@@ -50,15 +50,15 @@
     size_t at = 0;
     memset(&reader, 0, sizeof(reader));
     reader.type = type;
-    reader.max_head_bytes = LIMIT;
-    reader.max_body_bytes = LIMIT;
+    reader.max_head_bytes = MAX_MESSAGE_BYTES;
+    reader.max_body_bytes = MAX_MESSAGE_BYTES;
     reader.events = (struct http_reader_events){&bodies, ignore_message, ignore_body, ignore_message};
     http_reader_reset(&reader);
-    while (at < length && reader.fault == HTTP_FAULT_NONE) {
+    while (at < length && reader.error == HTTP_PARSE_ERROR_NONE) {
         size_t part = length - at < step ? length - at : step;
         size_t used = http_reader_feed(&reader, text + at, part);
-        if (used > part || (used == 0 && !reader.complete && reader.fault == HTTP_FAULT_NONE)) {
-            abort(); /* no progress would hang a connection */
+        if (used > part || (used == 0 && !reader.complete && reader.error == HTTP_PARSE_ERROR_NONE)) {
+            abort(); /* no progress: the connection would hang */
         }
         at += used;
         if (reader.complete) {
@@ -68,7 +68,7 @@
     http_reader_end(&reader);
     http_reader_close(&reader);
     if (bodies > length) {
-        abort(); /* a body is never larger than what came */
+        abort(); /* a body is never larger than the input */
     }
 }
 
@@ -87,9 +87,9 @@
     struct findings findings = {0};
     struct buffer page = {0};
     ServerList list = {0};
-    server_entries_left_t left = {0};
+    server_entries_skipped_t skipped = {0};
     route_table_release(platform_read_configuration(text, &findings));
-    platform_read_servers(text, &list, &left, &page);
+    platform_read_servers(text, &list, &skipped, &page);
     for (pb_size_t i = 0; i < list.servers_count; i++) {
         free(list.servers[i].id);
         free(list.servers[i].service);
@@ -104,14 +104,14 @@
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
 {
-    uint8_t text[LARGEST];
+    uint8_t text[MAX_INPUT_BYTES];
     if (size < 2) {
         return 0;
     }
-    const char *chosen = texts[data[0] % (sizeof(texts) / sizeof(texts[0]))];
-    size_t length = strlen(chosen);
+    const char *seed = seed_inputs[data[0] % (sizeof(seed_inputs) / sizeof(seed_inputs[0]))];
+    size_t length = strlen(seed);
     size_t step = data[1] % 40 + 1;
-    memcpy(text, chosen, length);
+    memcpy(text, seed, length);
     for (size_t at = 2; at + 2 < size; at += 3) {
         text[(data[at] * 256U + data[at + 1]) % length] = data[at + 2];
     }
--- a/tests/integration/fleet.h
+++ b/tests/integration/fleet.h
@@ -1,8 +1,7 @@
 /**
  * @file fleet.h
- * Starts real daemons and the stand-ins for a test, and talks to them as
- * callers and operators do. Ports are free ones found at the start; waits are
- * on conditions, bounded by FLEET_LIMIT_MS.
+ * Runs daemons (bankbankd) and an emulator of engines and back ends for a test,
+ * and sends requests as callers and operators do.
  */
 #ifndef BANKBANK_TESTS_FLEET_H
 #define BANKBANK_TESTS_FLEET_H
@@ -15,99 +14,100 @@
 
 #include "base/buffer.h"
 
-enum { FLEET_MAX = 5, FLEET_LIMIT_MS = 30000, FLEET_MAX_TOKENS = 24, FLEET_LOG_LINES = 12 };
+enum { FLEET_MAX_DAEMONS = 5, FLEET_WAIT_TIMEOUT_MS = 30000, FLEET_MAX_TOKENS = 24, FLEET_LOG_LINES = 12 };
 
-/** One daemon. */
-struct fleet_node {
-    pid_t process;     /**< Its process, 0: not running. */
-    int caller_port;   /**< Port for callers. */
-    int operator_port; /**< Port for operators. */
-    int peer_port;     /**< Port of its peer link. */
+struct fleet_daemon {
+    pid_t process; /**< 0: not running. */
+    int caller_port;
+    int operator_port;
+    int peer_port;
 };
 
-/** All processes of a test. */
 struct fleet {
-    char folder[256];                   /**< Temporary folder of settings, data and logs. */
-    pid_t emulator;                     /**< Stand-ins. */
-    int emulator_port;                  /**< Their port. */
-    uint32_t count;                     /**< Daemons. */
-    uint32_t spares;                    /**< The last ones, not members at first; set before fleet_start(). */
-    struct fleet_node nodes[FLEET_MAX]; /**< Daemons, node 1 first. */
+    char directory[256]; /**< Temporary directory for settings, data and logs. */
+    pid_t emulator;
+    int emulator_port;
+    uint32_t count;  /**< Daemons, including spares. */
+    uint32_t spares; /**< How many of the last daemons are not initial members; set before fleet_start(). */
+    struct fleet_daemon daemons[FLEET_MAX_DAEMONS]; /**< Node N is at index N - 1. */
 };
 
-/** An answer to a caller. */
-struct fleet_answer {
-    int status;           /**< HTTP status, 0: none. */
-    bool whole;           /**< The transfer ended as it should. */
-    char run_state[16];   /**< X-Run-State, or "". */
-    char retry_after[16]; /**< Retry-After, or "". */
-    struct buffer body;   /**< Body. */
+struct fleet_response {
+    int status; /**< 0: no response. */
+    bool complete;
+    char run_state[16];   /**< X-Run-State; "": absent. */
+    char retry_after[16]; /**< Retry-After; "": absent. */
+    struct buffer body;
 };
 
-/** Folder of the programs under test; set by fleet_main(). */
+/** Build directory of the programs under test; set by main() of a test. */
 extern const char *fleet_build;
 
-/** Removes a stopped daemon's data. */
-void fleet_lose_disk(const struct fleet *fleet, uint32_t node);
+/** The daemon must be stopped. */
+void fleet_delete_data(const struct fleet *fleet, uint32_t node);
 
-/** Starts stand-ins and `count` daemons, ready and with a pool, a policy and a service. */
+/** Starts the emulator and `count` daemons, waits until they are ready, and creates a pool, a policy and a service. */
 void fleet_start(struct fleet *fleet, uint32_t count);
 
-/** Ends all and removes the folder; fails if a daemon does not stop cleanly. */
+/** Stops all processes and removes the directory. Fails, and keeps the directory, if a daemon does not exit cleanly. */
 void fleet_stop(struct fleet *fleet);
 
-/** Starts a daemon, and waits until it is ready. */
-void fleet_start_node(struct fleet *fleet, uint32_t node);
+/** Does not wait until the daemon is ready. */
+void fleet_start_daemon(struct fleet *fleet, uint32_t node);
+
 void fleet_wait_ready(const struct fleet *fleet, uint32_t node);
 
-/** Ends a daemon by a signal and returns its wait status. */
-int fleet_end_node(struct fleet *fleet, uint32_t node, int signal_number);
+/** Sends a signal that terminates the daemon; returns the status from waitpid(). */
+int fleet_kill_daemon(struct fleet *fleet, uint32_t node, int signal_number);
 
-/** Sends a request; header lines end with NULL. */
+/** `body` may be NULL; `headers` ends with NULL, or is NULL. Free the response with fleet_response_close(). */
 void fleet_request(int port, const char *method, const char *path, const char *body, const char *const *headers,
-                   struct fleet_answer *answer);
+                   struct fleet_response *response);
 
-/** Opens a connection to a port of this machine. */
+/** Connects to a loopback port; returns the socket, whose reads time out after FLEET_WAIT_TIMEOUT_MS. */
 int fleet_connect(int port);
 
-/** Sends raw bytes, closes the sending side if `half_close`, and returns what came back. */
-char *fleet_raw(int port, const char *bytes, size_t length, bool half_close);
+/** Sends raw bytes and, if `half_close`, shuts down the sending side. Returns everything received until the connection
+ * is closed or a read times out; the caller frees it. */
+char *fleet_send_raw(int port, const char *bytes, size_t length, bool half_close);
 
-void fleet_answer_close(struct fleet_answer *answer);
+void fleet_response_close(struct fleet_response *response);
 
-/** Creates a program and copies its id. */
+/** Creates a program with the default policy; `id` receives its id. */
 void fleet_create_program(const struct fleet *fleet, uint32_t node, char *id, size_t size);
 
-/** Asks call `number` of a program; `options` are further header lines or NULL. */
-void fleet_ask(const struct fleet *fleet, uint32_t node, const char *program, uint32_t number, const char *text,
-               bool stream, const char *const *options, struct fleet_answer *answer);
+/** Sends call `number` of a program; `options`: additional header lines, ending with NULL, or NULL. */
+void fleet_send_call(const struct fleet *fleet, uint32_t node, const char *program, uint32_t number, const char *text,
+                     bool stream, const char *const *options, struct fleet_response *response);
 
-/** Asks, again after each 503 as a caller should, and expects an answer; returns the assistant's text (owned). */
-char *fleet_must_answer(const struct fleet *fleet, uint32_t node, const char *program, uint32_t number,
-                        const char *text);
+/** Sends a call, retries it on 503, and expects status 200; returns the assistant's text, which the caller frees. */
+char *fleet_expect_answer(const struct fleet *fleet, uint32_t node, const char *program, uint32_t number,
+                          const char *text);
 
-/** Expects a stored history of `answers` answers that fit the conversation. */
-void fleet_must_verify(const struct fleet *fleet, uint32_t node, const char *program, uint64_t answers);
+/** Expects the program's stored history to be `answers` requests, each followed by the correct answer. */
+void fleet_expect_history(const struct fleet *fleet, uint32_t node, const char *program, uint64_t answers);
 
-/** Sets a fault at the first `engines` engines; `count` 0: until it is set anew. */
+/** Sets a fault, with its parameter `amount` (emulator/engine.h), at the first `engines` engines for `count` requests;
+ * `count` 0: until the next change. */
 void fleet_set_fault_at(const struct fleet *fleet, int engines, const char *fault, int amount, int count);
 
-/** Sets a fault at every engine. */
+/** Like fleet_set_fault_at(), for every engine. */
 void fleet_set_fault(const struct fleet *fleet, const char *fault, int amount, int count);
 
-/** Sum of a statistic over the stand-ins of a kind, "engines" or "backends". */
-json_int_t fleet_sum(const struct fleet *fleet, const char *kind, const char *statistic);
+/** Sum of a statistic over all emulated "engines" or "backends" (`kind`). */
+json_int_t fleet_stat_sum(const struct fleet *fleet, const char *kind, const char *statistic);
 
-/** Runs bankbankctl against a node; words end with NULL. Returns its exit status and output (owned). */
+/** Runs bankbankctl against a node; `words` ends with NULL. Returns the exit status, -1: killed by a signal. `output`
+ * receives stdout and stderr, which the caller frees, or is NULL. */
 int fleet_ctl(const struct fleet *fleet, uint32_t node, const char *const *words, char **output);
 
-/** Runs bankbankctl and fails with its output and the daemons' last log lines unless it exits with 0. */
-void fleet_must_ctl(const struct fleet *fleet, uint32_t node, const char *const *words);
+/** Runs bankbankctl; unless it exits with 0, prints the last log lines of the daemons and fails with its output. */
+void fleet_expect_ctl(const struct fleet *fleet, uint32_t node, const char *const *words);
 
-/** Repeats `reached` until it is true or the limit is over. */
+/** Polls `reached` until it returns true; false after FLEET_WAIT_TIMEOUT_MS. */
 bool fleet_wait_for(bool (*reached)(void *context), void *context);
 
-/** Value of a metric of a daemon. */
+/** -1: the metric is missing. */
 double fleet_metric(const struct fleet *fleet, uint32_t node, const char *name);
 
 #endif
--- a/tests/integration/framing_cases.h
+++ b/tests/integration/framing_cases.h
@@ -1,16 +1,15 @@
 /**
  * @file framing_cases.h
- * Requests whose framing two HTTP parsers could read in two ways. Every front
- * must answer 400 and close, and must not serve what follows.
+ * Requests with ambiguous framing. Every listener must answer 400, close the
+ * connection and not serve the bytes that follow.
  */
 #ifndef BANKBANK_TESTS_FRAMING_CASES_H
 #define BANKBANK_TESTS_FRAMING_CASES_H
 
-/** One malformed request. */
 struct framing_case {
-    const char *name;  /**< For the report. */
-    const char *lines; /**< Header lines between the request line and the empty line. */
-    const char *body;  /**< What follows the empty line. */
+    const char *name;
+    const char *lines; /**< Header lines, each with CRLF. */
+    const char *body;
 };
 
 static const struct framing_case framing_cases[] = {
@@ -22,10 +21,10 @@
     {"length with a letter", "Host: x\r\nContent-Length: 2a\r\n", "{}"},
     {"list of lengths", "Host: x\r\nContent-Length: 2, 2\r\n", "{}"},
     {"empty length", "Host: x\r\nContent-Length:\r\n", ""},
-    {"blank before the colon", "Host: x\r\nContent-Length : 2\r\n", "{}"},
-    {"folded line", "Host: x\r\nX-One: a\r\n b\r\nContent-Length: 2\r\n", "{}"},
-    {"line without a colon", "Host: x\r\nContent-Length\r\n", ""},
-    {"unknown encoding", "Host: x\r\nTransfer-Encoding: gzip\r\n", "0\r\n\r\n"},
+    {"space before the colon", "Host: x\r\nContent-Length : 2\r\n", "{}"},
+    {"folded header line", "Host: x\r\nX-One: a\r\n b\r\nContent-Length: 2\r\n", "{}"},
+    {"header line without a colon", "Host: x\r\nContent-Length\r\n", ""},
+    {"unknown transfer encoding", "Host: x\r\nTransfer-Encoding: gzip\r\n", "0\r\n\r\n"},
     {"chunked twice", "Host: x\r\nTransfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n"},
     {"no host", "Content-Length: 2\r\n", "{}"},
     {"two hosts", "Host: x\r\nHost: y\r\nContent-Length: 2\r\n", "{}"},
--- a/tests/integration/proxy.h
+++ b/tests/integration/proxy.h
@@ -1,29 +1,28 @@
 /**
  * @file proxy.h
- * A TCP proxy on the loopback, in the test's own process, that misbehaves on
- * demand: what a network does to connections between processes.
+ * A TCP proxy on the loopback interface, in threads of the test process, that
+ * simulates network faults on the connections between processes.
  */
 #ifndef BANKBANK_TESTS_PROXY_H
 #define BANKBANK_TESTS_PROXY_H
 
-/** What a proxy does to its connections, those that are open included. */
+/** Also applies to open connections. */
 enum proxy_mode {
-    PROXY_PASS,        /**< Passes all bytes on. */
-    PROXY_DELAY,       /**< Holds each piece back for some milliseconds. */
-    PROXY_RESET,       /**< Resets connections. */
-    PROXY_NO_REQUESTS, /**< What the dialling side sends is lost. */
-    PROXY_NO_ANSWERS,  /**< What the other side sends is lost. */
-    PROXY_SILENT,      /**< Both are lost. */
-    PROXY_MODES        /**< Number of modes. */
+    PROXY_PASS,
+    PROXY_DELAY, /**< Delays each chunk by PROXY_DELAY_US. */
+    PROXY_RESET,
+    PROXY_DROP_REQUESTS,  /**< Drops bytes from the client; the connections stay open. */
+    PROXY_DROP_RESPONSES, /**< Drops bytes from the target; the connections stay open. */
+    PROXY_DROP_ALL,
+    PROXY_MODE_COUNT
 };
 
-/** A proxy; lives as long as the process. */
+/** Runs until the process ends. */
 struct proxy;
 
-/** Starts one on a free port of 127.0.0.1 before a port there; tells its port. */
+/** Forwards connections to `target_port` of 127.0.0.1; `port` receives the proxy's own port, a free one. */
 struct proxy *proxy_start(int target_port, int *port);
 
-/** Changes what it does. */
-void proxy_set(struct proxy *proxy, enum proxy_mode mode);
+void proxy_set_mode(struct proxy *proxy, enum proxy_mode mode);
 
 #endif
--- a/tests/integration/site.h
+++ b/tests/integration/site.h
@@ -1,9 +1,9 @@
 /**
  * @file site.h
- * A stand-in of the platform in the test's own process, and real site daemons
- * before it: machine list and servers (threads on loopback addresses, with the
- * failures that the platform's pages name), state replicas and gateways. Daemon
- * N stands in zone z(N mod 3 + 1); z1 and z3 are in region r1, z2 in r2.
+ * Runs real daemons (bankbank-site), as processes, on a simulated platform: the
+ * machine list and the servers are threads of the test process, with configurable
+ * failures. Daemon N is in zone z(N mod 3 + 1); z1 and z3 are in region r1, z2 in
+ * r2.
  */
 #ifndef BANKBANK_TESTS_SITE_H
 #define BANKBANK_TESTS_SITE_H
@@ -16,201 +16,201 @@
 #include "proxy.h"
 
 enum {
-    SITE_STATES = 3,
+    SITE_REPLICAS = 3,
     SITE_GATEWAYS = 2,
-    SITE_FURTHER = 30, /**< Daemons at most besides the first five, of which the three state replicas are the seeds. */
+    SITE_MAX_EXTRA_DAEMONS = 30, /**< In addition to SITE_REPLICAS replicas (the seeds) and SITE_GATEWAYS gateways. */
     SITE_SERVERS = 4,
-    SITE_LIMIT_MS = 20000,
+    SITE_TIMEOUT_MS = 20000,
     SITE_LONG_EVENTS = 12000,
     SITE_LARGE_BYTES = 7 << 20
 };
 
-/** How a server answers. */
 enum site_mode {
-    SITE_NORMAL,      /**< Whole and signed. */
-    SITE_REFUSE,      /**< 503, not run. */
-    SITE_MISDIRECTED, /**< 421: another incarnation has the address. */
-    SITE_CUT,         /**< Runs, then closes without an answer. */
-    SITE_CUT_MIDWAY,  /**< Runs, and closes in the middle of the answer. */
-    SITE_STALL,       /**< Streams two events and says nothing more. */
-    SITE_TORN,        /**< Streams, and closes in the middle of its second event, once for each request. */
-    SITE_UNNUMBERED,  /**< Streams events without ids, and closes after the second one. */
-    SITE_PAUSED,      /**< Streams two events, says nothing for two seconds, and ends in order. */
-    SITE_PACED,       /**< Takes a moment before each piece of a whole answer. */
-    SITE_CROSSED,     /**< Answers with another request's id. */
-    SITE_UNSIGNED,    /**< A success without its signature. */
-    SITE_ENCODED,     /**< An answer with a content encoding. */
-    SITE_EXTRA,       /**< A whole answer, and bytes behind it. */
-    SITE_SILENT,      /**< Runs and says nothing. */
-    SITE_SLOW,        /**< Runs for a second, then answers. */
-    SITE_LONG,        /**< Streams SITE_LONG_EVENTS events of more than a KiB each. */
-    SITE_UNREAD,      /**< The same; one that is not read for a moment is cut off, as long as it was not taken up. */
-    SITE_LARGE,       /**< A whole answer of SITE_LARGE_BYTES. */
-    SITE_UNFRAMED,    /**< A whole answer without a length, which ends with its connection. */
-    SITE_RESET        /**< Part of an answer without a length, whose connection is reset. */
+    SITE_NORMAL,         /**< Complete, signed response. */
+    SITE_REFUSE,         /**< 503 with Bankbank-Not-Executed. */
+    SITE_MISDIRECTED,    /**< 421 with the id of another instance. */
+    SITE_CUT,            /**< Runs the request, then closes without a response. */
+    SITE_CUT_MIDWAY,     /**< Runs the request, and closes in the middle of the response. */
+    SITE_STALL,          /**< Streams two events, then nothing; the connection stays open. */
+    SITE_CUT_IN_EVENT,   /**< Closes within the second event; a resumed stream is complete. */
+    SITE_NO_EVENT_IDS,   /**< Streams events without ids, and closes after the second event. */
+    SITE_PAUSED,         /**< Streams two events, pauses for two seconds, and completes the stream. */
+    SITE_PACED,          /**< Complete response with a delay before each chunk. */
+    SITE_WRONG_ID,       /**< Responds with the id of another request. */
+    SITE_UNSIGNED,       /**< Success without a signature. */
+    SITE_ENCODED,        /**< Response with Content-Encoding: gzip. */
+    SITE_TRAILING_BYTES, /**< Complete response followed by further bytes. */
+    SITE_SILENT,         /**< Runs the request and never responds. */
+    SITE_SLOW,           /**< Responds after a second. */
+    SITE_LONG,           /**< Streams SITE_LONG_EVENTS events of more than a KiB each. */
+    SITE_ABORT_UNREAD,   /**< Like SITE_LONG; resets a stream that stays unread, unless it was resumed. */
+    SITE_LARGE,          /**< Complete response of SITE_LARGE_BYTES. */
+    SITE_NO_LENGTH,      /**< Complete response that ends when the connection closes. */
+    SITE_RESET           /**< Part of a response without a length, then a connection reset. */
 };
 
-/** What a server tells as it begins a request. */
+/** A request that a server runs. */
 typedef struct site_run_t {
-    int server;       /**< The server. */
-    int instance;     /**< Its instance: how often it was replaced. */
-    const char *id;   /**< The request's id. */
-    struct view body; /**< Its body. */
-    int64_t left_ms;  /**< Time that the server is given; -1: it is told none. */
-    uint64_t at_ms;   /**< When the server had read the request. */
+    int server;
+    int instance; /**< Number of replacements of the server so far. */
+    const char *id;
+    struct view body;
+    int64_t remaining_ms; /**< Bankbank-Deadline-Ms; -1: absent. */
+    uint64_t at_ms;       /**< When the request was read; monotonic clock. */
 } site_run_t;
 
-/** An answer to a caller. */
-struct site_answer {
-    int status;         /**< Status, 0: none. */
-    bool whole;         /**< It ended as its framing told. */
+struct site_response {
+    int status;         /**< 0: no response. */
+    bool complete;      /**< By its HTTP framing. */
     struct buffer head; /**< Status line and headers. */
-    struct buffer body; /**< Decoded body. */
+    struct buffer body; /**< Without chunked framing. */
 };
 
-/** Starts stand-ins and daemons, and puts the first configuration. */
+/** Starts the simulated platform and the daemons, sets a configuration and waits until the gateways are ready. */
 void site_start(void);
 
-/**
- * The same with `count` further state replicas, which are no seeds: daemons
- * SITE_STATES + SITE_GATEWAYS and on. All but two seeds run for a moment before those two.
- */
-void site_start_many(int count);
+/** Like site_start(), with `count` additional state replicas, which are not seeds. All seeds but the first start after
+ * the other daemons. */
+void site_start_with_extra_replicas(int count);
 
-/** Starts a site of so many state replicas and gateways, three and two at least, all at once. */
-void site_start_shape(int states, int gateways);
+/** Like site_start(), with `replicas` state replicas (at least SITE_REPLICAS) and `gateways` gateways (at least
+ * SITE_GATEWAYS); all daemons start at the same time. */
+void site_start_sized(int replicas, int gateways);
 
-/** Number of daemons, and which of them is a state replica or a gateway by its number. */
+/** Number of daemons. */
 int site_daemons(void);
-int site_state_daemon(int state);
+
+/** Daemon number of a state replica or a gateway. */
+int site_replica_daemon(int replica);
 int site_gateway_daemon(int gateway);
 
-/** Puts the sites that start next on the machine's disk. Else they stand on a file system in memory, where there is one
- * with room: its syncs don't wait for what else the machine does. */
+/** Makes sites started after this call store their data on disk. The default is a tmpfs, if it has enough space, so
+ * that other load on the machine does not delay syncs. */
 void site_store_on_disk(void);
 
-/** Ends all; fails if a daemon does not stop cleanly. Logs and data stay where the program fails, and it says where. */
+/** Stops all daemons; fails if one does not exit cleanly. Logs and data are removed when the test program exits, unless
+ * it fails. */
 void site_stop(void);
 
-/** Starts and ends a daemon: states first, then gateways. */
+/** Daemon numbers: SITE_REPLICAS state replicas, then SITE_GATEWAYS gateways, then additional daemons. */
 void site_start_daemon(int daemon);
-int site_end_daemon(int daemon, int signal_number);
 
-/** Daemons started from now on refer their watchers to replicas outside the group where they have more than that. */
-void site_refer_watchers(int above);
+/** Sends a signal that terminates the daemon; returns the status from waitpid(). */
+int site_kill_daemon(int daemon, int signal_number);
 
-/** A daemon runs the program of another build from its next start on; NULL: of site_build. */
+/** Number of watchers above which a member refers them to relays (core/watch.h); for daemons started afterwards. */
+void site_set_refer_above(int above);
+
+/** Build directory of a daemon's program from its next start on; NULL: site_build. */
 void site_set_build(int daemon, const char *build);
 
-/** Names other daemons (SITE_STATES of them) as seeds in all settings, and tells the daemons that they have changed. */
+/** Writes SITE_REPLICAS new seeds to all settings files, and sends SIGHUP to all daemons. */
 void site_change_seeds(const int *daemons);
 
-/** Limits the memory that a daemon started from now on may hold, in MB; 0: no limit. */
+/** Memory limit of daemons started afterwards; 0: none. */
 void site_limit_memory(int megabytes);
 
-/** Process id of a daemon. */
 pid_t site_process(int daemon);
 
-/** Removes a stopped state replica's data. */
-void site_lose_disk(int state);
+/** The daemon must be stopped. */
+void site_remove_data(int daemon);
 
-/** Sets how servers answer; -1: all of them. Forgets what they ran. */
+/** Sets the mode of a server, or of all (-1); resets its run count and the count of cancellations. */
 void site_set_mode(int server, enum site_mode mode);
 
-/** The longest, in ms, that bytes of a request lay unread in this process in the last few seconds. */
-uint64_t site_late_ms(void);
+/** Longest time that received bytes of a request waited unread in this process, in the last few seconds. */
+uint64_t site_read_delay_ms(void);
 
-/** From now on servers answer with the request's id as their text, and tell each run. May be called from many threads.
- */
-void site_echo(void (*run)(const site_run_t *run));
+/** Makes servers respond with the request's id as the body, and call `run` for each request, from several threads. */
+void site_echo_ids(void (*run)(const site_run_t *run));
 
-/** Puts a proxy before each server, from the next reading of the list on. */
+/** Puts a proxy in front of each server, from the next fetch of the machine list on. */
 void site_use_proxies(void);
 
-/** Changes what the proxy before a server does; -1: all of them. */
-void site_set_proxy(int server, enum proxy_mode mode);
+/** Sets the mode of a server's proxy, or of all (-1). */
+void site_set_proxy_mode(int server, enum proxy_mode mode);
 
-/** Makes a server take no connection any more, without a word, or take them again. */
-void site_set_dark(int server, bool dark);
+/** Makes a server leave new connections unanswered, or accept them again. */
+void site_set_not_accepting(int server, bool not_accepting);
 
-/** Shows a server as one that has just started, or no more. */
+/** Lists a server as starting, or as no longer starting. */
 void site_set_starting(int server, bool starting);
 
-/** Puts another instance of a server into a zone (a constant text); at first all are in z1. */
+/** Replaces a server by an instance in another zone (a string constant); initially all servers are in z1. */
 void site_set_zone(int server, const char *zone);
 
-/** Drops all that comes to a server and to its machine's closed port, the kernel's answers included, as if it had no
- * power; one server at a time. */
-void site_set_dead(int server, bool dead);
+/** Drops all packets to a server and to the closed port, so that the kernel does not respond either, as on a machine
+ * without power. For one server at a time. */
+void site_set_powered_off(int server, bool powered_off);
 
-/** Drops what comes to the closed port of the servers' machine, as a packet filter does, or lets it be refused again.
- */
+/** Drops packets to the closed port, as a packet filter does, or lets it refuse connections again. */
 void site_filter_closed_port(bool filtered);
 
-/** Drops for good all that comes to the connections which a server has now; it takes new ones. */
-void site_silence_connections(int server);
+/** Permanently drops all packets to a server's current connections; new connections work. */
+void site_drop_connection_traffic(int server);
 
-/** Shows a server as leaving on the list, or as ready. */
+/** Lists a server as draining, or as ready. */
 void site_set_draining(int server, bool draining);
 
-/** Puts another instance in the place of a server that left: it has the address, and an id of its own. */
+/** Replaces a server by another instance with the same address and a new id. */
 void site_replace_server(int server);
 
-/** The instance of a server that runs now. */
+/** Number of replacements of a server so far. */
 int site_instance(int server);
 
-/** Shows all servers as started at `born`, a Unix time in ms, under the ids that they have; 0: they do not tell. */
-void site_set_born(uint64_t born);
+/** Lists all servers, with unchanged ids, as started at a Unix time in ms; 0: without a start time. */
+void site_set_start_time(uint64_t started_unix_ms);
 
-/** Puts entries of another writer behind the servers on the list, as they are written: each begins with a comma. */
-void site_list_also(const char *entries);
+/** Appends raw JSON entries to the machine list; `entries` starts with a comma, or is empty. */
+void site_set_extra_list_entries(const char *entries);
 
-/** Number of requests that a server ran; -1: all servers. */
-int site_runs(int server);
+/** Number of requests that a server, or all (-1), ran since its mode was set. */
+int site_run_count(int server);
 
-/** Body of the last request that any server ran; owned by the caller. */
+/** Body of the last request that any server ran; the caller frees it. */
 char *site_last_body(void);
 
-/** Head of the last request that any server ran; owned by the caller. */
+/** Head of the last request that any server ran; the caller frees it. */
 char *site_last_head(void);
 
-/** Connections that clients closed while a server was at work. */
-int site_cancelled(void);
+/** Number of connections that clients closed while a server ran a request in mode SITE_SILENT or SITE_SLOW. */
+int site_cancelled_count(void);
 
-/** Address of a gateway's callers, and of a state replica's operators. */
+/** IP address of a gateway for callers, and of a state replica for operators. */
 const char *site_caller_ip(int gateway);
-const char *site_control_ip(int state);
+const char *site_control_ip(int replica);
 
-/** Sends a request with an id of its own and header lines (each with CRLF, or ""). */
+/** Sends a request with a generated id; `lines`: additional header lines, each with CRLF, or "". `body` may be NULL. */
 void site_call(int gateway, const char *method, const char *path, const char *lines, const char *body,
-               struct site_answer *answer);
+               struct site_response *response);
 
-/** The same with an id; NULL: a fresh one. */
+/** Like site_call(), with the given id; NULL: a generated one. */
 void site_call_as(int gateway, const char *id, const char *method, const char *path, const char *lines,
-                  const char *body, struct site_answer *answer);
+                  const char *body, struct site_response *response);
 
-void site_answer_close(struct site_answer *answer);
+void site_response_close(struct site_response *response);
 
-enum { SITE_TURN_BYTES = 60 * 1024 /**< What a large turn brings; the route takes 64 KiB. */ };
+enum { SITE_TURN_BYTES = 60 * 1024 /**< Below max-body-bytes, 64 KiB. */ };
 
-/** Runs the only turn of a program of its own, SITE_TURN_BYTES long, which makes logs grow; one that is refused while
- * the replicas' disk stands still is asked for again. */
+/** Runs a turn of SITE_TURN_BYTES in program p-NUMBER, to make the replicas' logs grow; retries until it is served. */
 void site_large_turn(int gateway, int number);
 
-/** Sends an operator's call to a state replica; returns the status. */
-int site_order(int state, const char *method, const char *path, const char *body, struct buffer *reply);
+/** Returns the status; 0: no response. The response body is appended to `response_body`, unless that is NULL. */
+int site_operator_call(int replica, const char *method, const char *path, const char *body,
+                       struct buffer *response_body);
 
-/** A configuration of the given version; `extra` is put into the first route. The caller frees it. */
+/** Returns a configuration in JSON, which the caller frees; `extra`: additional fields of the first route, starting
+ * with a comma, or "". */
 char *site_configuration(int version, const char *extra);
 
-/** The same with further fields of the whole; `more` begins with a comma, or is empty. */
+/** Like site_configuration(); `more`: additional top-level fields, starting with a comma, or "". */
 char *site_configuration_with(int version, const char *extra, const char *more);
 
-/** Opens a connection. */
+/** Returns a connected TCP socket, whose reads time out after SITE_TIMEOUT_MS; -1: connecting failed. */
 int site_connect(const char *ip, int port);
 
-/** Reads an answer's status from a connection and closes it; 0: no answer came. */
-int site_read_status(int file);
+/** Reads the status of a response and closes the connection; 0: no response. */
+int site_read_status(int fd);
 
 /** Ports, the same on all machines. */
 extern int site_caller_port;
@@ -218,25 +218,25 @@
 extern int site_ready_port;
 extern int site_metrics_port;
 
-/** Port at which the machine of the servers listens never. */
+/** Port of the servers' machine that refuses connections, see site_filter_closed_port(). Daemons get it in the setting
+ * `closed_port`, which is unused (proxy/node_settings.h). */
 extern int site_closed_port;
 
-/** Whether the daemons that start next are told of no closed port. */
+/** Whether daemons started afterwards are configured without the closed port. */
 extern bool site_hides_closed_port;
 
-/** Repeats until `reached` is true; fails after SITE_LIMIT_MS. */
+/** Polls until `reached` returns true; fails after SITE_TIMEOUT_MS with `what` in the message. */
 void site_wait(bool (*reached)(void *context), void *context, const char *what);
 
-/** Lets the files that a state replica writes grow no more, as on a full disk, or grow again. */
-void site_set_disk_full(int state, bool full);
+/** Sets or removes a file size limit of a daemon, which makes writes fail as on a full disk. */
+void site_set_disk_full(int daemon, bool full);
 
-/** Value of a metric of a daemon; -1: none. */
+/** `name`: without the prefix "bankbank_". Returns -1 if the metric is missing. */
 double site_metric(int daemon, const char *name);
 
-/** Whether a daemon's log has a text. */
 bool site_log_has(int daemon, const char *text);
 
-/** Folder of the programs under test. */
+/** Build directory of the programs under test. */
 extern const char *site_build;
 
 #endif
--- a/tests/integration/site_internal.h
+++ b/tests/integration/site_internal.h
@@ -1,7 +1,7 @@
 /**
  * @file site_internal.h
- * What the parts of the site's stand-in share: sockets, messages, and the start
- * of its servers.
+ * Sockets, HTTP messages and simulated servers; shared by the source files of
+ * site.h and used by tests that send requests in parts.
  */
 #ifndef BANKBANK_TESTS_SITE_INTERNAL_H
 #define BANKBANK_TESTS_SITE_INTERNAL_H
@@ -12,19 +12,20 @@
 #include "base/buffer.h"
 #include "net/http_reader.h"
 
-/** Listens on a free port of an address; returns the socket. */
+/** Listens on a free port, which `port` receives; returns the socket. */
 int site_listen(const char *ip, int *port);
 
-/** Sends all of it, unless the connection ends. */
-void site_send(int file, const char *text, size_t length);
+/** Sends all bytes; ignores failures of the connection. */
+void site_send(int fd, const char *text, size_t length);
 
-/** Reads one message; false: the connection ended first. */
-bool site_read(int file, struct http_reader *reader, enum http_parser_type type, struct buffer *body);
+/** Reads one HTTP message; false: it is incomplete or invalid. The caller closes `reader` in either case. */
+bool site_read(int fd, struct http_reader *reader, enum http_parser_type type, struct buffer *body);
 
-/** After a read from a connection: notes how long the newest bytes had lain there, which is this process's lateness. */
-void site_note_lain(int file);
+/** Records how long the newest bytes had waited unread (site_read_delay_ms()); to be called after a read from the
+ * connection. */
+void site_record_read_delay(int fd);
 
-/** Starts the machine list and the servers, each in threads of their own; tells the list's port. */
+/** Starts the threads of the machine list and the servers; `list_port` receives the port of the list. */
 void site_servers_start(int *list_port);
 
 #endif
--- a/tests/integration/support_ports.c
+++ b/tests/integration/support_ports.c
@@ -9,63 +9,63 @@
 #include <check.h>
 
 enum {
-    PORTS_BLOCK = 50,                         /* ports that one process holds together */
-    PORTS_BLOCKS = PORTS_COUNT / PORTS_BLOCK, /* blocks in the range */
-    PORTS_HOLDER = 0x7f0000fe                 /* 127.0.0.254, where only blocks are held */
+    PORTS_PER_BLOCK = 50,
+    PORTS_BLOCK_COUNT = PORTS_COUNT / PORTS_PER_BLOCK,
+    PORTS_LOCK_ADDRESS = 0x7f0000fe /* 127.0.0.254, used only to lock blocks */
 };
 
-static int ports_block = -1;  /* block that is handed out now, -1: none yet */
-static int ports_blocks_seen; /* blocks looked at */
-static int ports_next;        /* next place in it */
+static int ports_current_block = -1; /* -1: none yet */
+static int ports_blocks_tried;
+static int ports_next_offset; /* in the current block */
 
-/* A socket that has a port at an address, or -1 where another one has it. */
+/* Returns a socket bound to the port, or -1 if that failed. */
 static int ports_bind(uint32_t ip, int port)
 {
     struct sockaddr_in address = {
         .sin_family = AF_INET, .sin_port = htons((uint16_t)port), .sin_addr.s_addr = htonl(ip)};
-    int file = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-    ck_assert_int_ge(file, 0);
-    if (bind(file, (struct sockaddr *)&address, sizeof(address)) == 0) {
-        return file;
+    int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+    ck_assert_int_ge(fd, 0);
+    if (bind(fd, (struct sockaddr *)&address, sizeof(address)) == 0) {
+        return fd;
     }
-    close(file);
+    close(fd);
     return -1;
 }
 
-/* The block's first port, at an address of its own, is held until this process ends. */
-static bool ports_hold_block(int block)
+/* Binds the first port of the block on PORTS_LOCK_ADDRESS, until this process ends; false: another process has it. */
+static bool ports_lock_block(int block)
 {
-    return ports_bind(PORTS_HOLDER, PORTS_FIRST + block * PORTS_BLOCK) >= 0;
+    return ports_bind(PORTS_LOCK_ADDRESS, PORTS_FIRST + block * PORTS_PER_BLOCK) >= 0;
 }
 
-static void ports_next_block(void)
+static void ports_lock_next_block(void)
 {
-    int start = (int)((long)getpid() % PORTS_BLOCKS);
+    int start = (int)((long)getpid() % PORTS_BLOCK_COUNT);
     do {
-        ck_assert_msg(ports_blocks_seen < PORTS_BLOCKS, "no free port is left");
-        ports_block = (start + ports_blocks_seen++) % PORTS_BLOCKS;
-    } while (!ports_hold_block(ports_block));
-    ports_next = 1; /* the first one is held */
+        ck_assert_msg(ports_blocks_tried < PORTS_BLOCK_COUNT, "all port blocks are in use");
+        ports_current_block = (start + ports_blocks_tried++) % PORTS_BLOCK_COUNT;
+    } while (!ports_lock_block(ports_current_block));
+    ports_next_offset = 1; /* the first port is used for the lock */
 }
 
-/* At no address of this machine: daemons listen at several. */
+/* Checks all addresses, since daemons listen on several. */
 static bool ports_is_free(int port)
 {
-    int file = ports_bind(INADDR_ANY, port);
-    if (file < 0) {
+    int fd = ports_bind(INADDR_ANY, port);
+    if (fd < 0) {
         return false;
     }
-    close(file);
+    close(fd);
     return true;
 }
 
-int ports_take(void)
+int ports_allocate(void)
 {
     for (;;) {
-        if (ports_block < 0 || ports_next == PORTS_BLOCK) {
-            ports_next_block();
+        if (ports_current_block < 0 || ports_next_offset == PORTS_PER_BLOCK) {
+            ports_lock_next_block();
         }
-        int port = PORTS_FIRST + ports_block * PORTS_BLOCK + ports_next++;
+        int port = PORTS_FIRST + ports_current_block * PORTS_PER_BLOCK + ports_next_offset++;
         if (ports_is_free(port)) {
             return port;
         }
--- a/tests/integration/support_proxy.c
+++ b/tests/integration/support_proxy.c
@@ -1,4 +1,4 @@
-/* The proxy: one thread accepts, and one serves each connection. */
+/* One thread accepts connections; each connection has its own thread. */
 #include "proxy.h"
 
 #include <check.h>
@@ -15,7 +15,7 @@
 #include "site.h"
 #include "site_internal.h"
 
-enum { PROXY_PIECE = 16 << 10, PROXY_LOOK_MS = 20, PROXY_DELAY_US = 30000 };
+enum { PROXY_CHUNK_BYTES = 16 << 10, PROXY_POLL_MS = 20, PROXY_DELAY_US = 30000 };
 
 struct proxy {
     int listener;
@@ -23,24 +23,23 @@
     atomic_int mode;
 };
 
-/* A connection and the one that it is passed on to. */
-struct proxy_pair {
+struct proxy_connection {
     struct proxy *proxy;
-    int near;
-    int far;
+    int client;
+    int target; /* -1: connecting failed */
 };
 
-static void proxy_reset(int file)
+static void proxy_reset_on_close(int fd)
 {
-    struct linger at_once = {.l_onoff = 1, .l_linger = 0};
-    setsockopt(file, SOL_SOCKET, SO_LINGER, &at_once, sizeof(at_once));
+    struct linger no_linger = {.l_onoff = 1, .l_linger = 0};
+    setsockopt(fd, SOL_SOCKET, SO_LINGER, &no_linger, sizeof(no_linger));
 }
 
-static bool proxy_send(int file, const char *data, size_t length)
+static bool proxy_send(int fd, const char *data, size_t length)
 {
     size_t sent = 0;
     while (sent < length) {
-        ssize_t step = send(file, data + sent, length - sent, MSG_NOSIGNAL);
+        ssize_t step = send(fd, data + sent, length - sent, MSG_NOSIGNAL);
         if (step <= 0) {
             return false;
         }
@@ -49,50 +48,51 @@
     return true;
 }
 
-/* Moves what has come from one side; false: that side has ended. */
-static bool proxy_move(const struct proxy *proxy, int from, int to, enum proxy_mode loses)
+/* Forwards received bytes, unless the mode is `drop_mode` or PROXY_DROP_ALL; false: a side has closed. */
+static bool proxy_forward(const struct proxy *proxy, int from, int to, enum proxy_mode drop_mode)
 {
-    char piece[PROXY_PIECE];
-    ssize_t got = recv(from, piece, sizeof(piece), 0);
+    char chunk[PROXY_CHUNK_BYTES];
+    ssize_t got = recv(from, chunk, sizeof(chunk), 0);
     enum proxy_mode mode = (enum proxy_mode)atomic_load(&proxy->mode);
     if (got <= 0) {
         return false;
     }
-    if (loses == PROXY_NO_REQUESTS) {
-        site_note_lain(from);
+    if (drop_mode == PROXY_DROP_REQUESTS) {
+        site_record_read_delay(from);
     }
-    if (mode == loses || mode == PROXY_SILENT) {
+    if (mode == drop_mode || mode == PROXY_DROP_ALL) {
         return true;
     }
     if (mode == PROXY_DELAY) {
         clock_sleep_us(PROXY_DELAY_US);
     }
-    return proxy_send(to, piece, (size_t)got);
+    return proxy_send(to, chunk, (size_t)got);
 }
 
 static void *proxy_serve(void *argument)
 {
-    struct proxy_pair *pair = argument;
-    struct pollfd files[2] = {{.fd = pair->near, .events = POLLIN}, {.fd = pair->far, .events = POLLIN}};
-    bool open = pair->far >= 0;
-    while (open && atomic_load(&pair->proxy->mode) != PROXY_RESET) {
-        poll(files, 2, PROXY_LOOK_MS);
-        if ((files[0].revents & (POLLIN | POLLHUP | POLLERR)) != 0) {
-            open = proxy_move(pair->proxy, pair->near, pair->far, PROXY_NO_REQUESTS);
+    struct proxy_connection *connection = argument;
+    struct pollfd polled[2] = {{.fd = connection->client, .events = POLLIN},
+                               {.fd = connection->target, .events = POLLIN}};
+    bool open = connection->target >= 0;
+    while (open && atomic_load(&connection->proxy->mode) != PROXY_RESET) {
+        poll(polled, 2, PROXY_POLL_MS);
+        if ((polled[0].revents & (POLLIN | POLLHUP | POLLERR)) != 0) {
+            open = proxy_forward(connection->proxy, connection->client, connection->target, PROXY_DROP_REQUESTS);
         }
-        if (open && (files[1].revents & (POLLIN | POLLHUP | POLLERR)) != 0) {
-            open = proxy_move(pair->proxy, pair->far, pair->near, PROXY_NO_ANSWERS);
+        if (open && (polled[1].revents & (POLLIN | POLLHUP | POLLERR)) != 0) {
+            open = proxy_forward(connection->proxy, connection->target, connection->client, PROXY_DROP_RESPONSES);
         }
     }
     if (open) {
-        proxy_reset(pair->near);
-        proxy_reset(pair->far);
+        proxy_reset_on_close(connection->client);
+        proxy_reset_on_close(connection->target);
     }
-    close(pair->near);
-    if (pair->far >= 0) {
-        close(pair->far);
+    close(connection->client);
+    if (connection->target >= 0) {
+        close(connection->target);
     }
-    free(pair);
+    free(connection);
     return NULL;
 }
 
@@ -100,16 +100,16 @@
 {
     struct proxy *proxy = argument;
     for (;;) {
-        int file = accept(proxy->listener, NULL, NULL);
-        if (file < 0) {
+        int fd = accept(proxy->listener, NULL, NULL);
+        if (fd < 0) {
             return NULL;
         }
-        struct proxy_pair *pair = memory_new(sizeof(*pair));
+        struct proxy_connection *connection = memory_new(sizeof(*connection));
         pthread_t thread;
-        pair->proxy = proxy;
-        pair->near = file;
-        pair->far = site_connect("127.0.0.1", proxy->target_port);
-        pthread_create(&thread, NULL, proxy_serve, pair);
+        connection->proxy = proxy;
+        connection->client = fd;
+        connection->target = site_connect("127.0.0.1", proxy->target_port);
+        pthread_create(&thread, NULL, proxy_serve, connection);
         pthread_detach(thread);
     }
 }
@@ -125,7 +125,7 @@
     return proxy;
 }
 
-void proxy_set(struct proxy *proxy, enum proxy_mode mode)
+void proxy_set_mode(struct proxy *proxy, enum proxy_mode mode)
 {
     atomic_store(&proxy->mode, mode);
 }
--- a/tests/integration/support_site.c
+++ b/tests/integration/support_site.c
@@ -1,4 +1,4 @@
-/* Real site daemons before the stand-in, calls to them, and the start and end of all. */
+/* Start and stop of the daemons, and requests to them. */
 #include "ports.h"
 #include "site.h"
 #include "site_internal.h"
@@ -19,16 +19,16 @@
 #include "base/clock.h"
 
 enum {
-    SITE_FIRST_DAEMONS = SITE_STATES + SITE_GATEWAYS,
-    SITE_DAEMONS = SITE_FIRST_DAEMONS + SITE_FURTHER,
-    SITE_HEAD_START_US = 700 * 1000,
-    SITE_STEP_US = 10000,
-    SITE_LOG_STEP = 1 << 16,
-    SITE_FULL_BYTES = 4096,
-    SITE_FOLDERS = 128, /* sites that one program starts, at most */
-    SITE_FOLDER_BYTES = 64,
-    SITE_COMMAND = 128,
-    SITE_MEMORY_ROOM = 1 << 30 /* bytes free on the file system in memory for it to be used */
+    SITE_BASE_DAEMONS = SITE_REPLICAS + SITE_GATEWAYS,
+    SITE_MAX_DAEMONS = SITE_BASE_DAEMONS + SITE_MAX_EXTRA_DAEMONS,
+    SITE_SEED_START_DELAY_US = 700 * 1000,
+    SITE_POLL_US = 10000,
+    SITE_LOG_CHUNK_BYTES = 1 << 16,
+    SITE_FULL_DISK_MAX_FILE_BYTES = 4096,
+    SITE_MAX_DIRECTORIES = 128, /* sites that one program can start */
+    SITE_DIRECTORY_BYTES = 64,
+    SITE_COMMAND_BYTES = 128,
+    SITE_MIN_TMPFS_BYTES = 1 << 30 /* free space required to store a site on tmpfs */
 };
 
 const char *site_build = "build";
@@ -40,53 +40,52 @@
 static int site_list_port;
 int site_closed_port;
 bool site_hides_closed_port;
-static char site_folder[SITE_FOLDER_BYTES];                /* of the site that runs */
-static char site_folders[SITE_FOLDERS][SITE_FOLDER_BYTES]; /* of all sites of this program so far */
-static int site_folder_count;
-static pid_t site_folders_of; /* process that made them */
+static char site_directory[SITE_DIRECTORY_BYTES];                         /* of the current site */
+static char site_directories[SITE_MAX_DIRECTORIES][SITE_DIRECTORY_BYTES]; /* of all sites started by this program */
+static int site_directory_count;
+static pid_t site_directories_owner; /* process that created them */
 static bool site_on_disk;
-static pid_t site_processes[SITE_DAEMONS];
-static int site_further; /* daemons besides the first ones: state replicas, then gateways */
-static int site_further_states;
-static bool site_formed;
+static pid_t site_processes[SITE_MAX_DAEMONS];
+static int site_extra_daemons; /* additional daemons: state replicas, then gateways */
+static int site_extra_replicas;
+static bool site_bootstrapped;
 static int site_memory_mb;
 static int site_refer_above = -1;
-static int site_seeds[SITE_STATES] = {0, 1, 2};
-static const char *site_builds[SITE_FIRST_DAEMONS + SITE_FURTHER]; /* NULL: site_build */
+static int site_seeds[SITE_REPLICAS] = {0, 1, 2};
+static const char *site_builds[SITE_BASE_DAEMONS + SITE_MAX_EXTRA_DAEMONS]; /* NULL: site_build */
 
 /* ---- Daemons ------------------------------------------------------------------------------------- */
 
 static const char *site_ip(int daemon)
 {
-    static const char *const ips[SITE_FIRST_DAEMONS] = {"127.0.1.1", "127.0.1.2", "127.0.1.3", "127.0.2.1",
-                                                        "127.0.2.2"};
-    static char further[SITE_FURTHER][24];
-    if (daemon < SITE_FIRST_DAEMONS) {
+    static const char *const ips[SITE_BASE_DAEMONS] = {"127.0.1.1", "127.0.1.2", "127.0.1.3", "127.0.2.1", "127.0.2.2"};
+    static char extra_ips[SITE_MAX_EXTRA_DAEMONS][24];
+    if (daemon < SITE_BASE_DAEMONS) {
         return ips[daemon];
     }
-    char *ip = further[daemon - SITE_FIRST_DAEMONS];
-    snprintf(ip, sizeof(further[0]), "127.0.3.%d", daemon - SITE_FIRST_DAEMONS + 1);
+    char *ip = extra_ips[daemon - SITE_BASE_DAEMONS];
+    snprintf(ip, sizeof(extra_ips[0]), "127.0.3.%d", daemon - SITE_BASE_DAEMONS + 1);
     return ip;
 }
 
 int site_daemons(void)
 {
-    return SITE_FIRST_DAEMONS + site_further;
+    return SITE_BASE_DAEMONS + site_extra_daemons;
 }
 
-int site_state_daemon(int state)
+int site_replica_daemon(int replica)
 {
-    return state < SITE_STATES ? state : SITE_GATEWAYS + state;
+    return replica < SITE_REPLICAS ? replica : SITE_GATEWAYS + replica;
 }
 
 int site_gateway_daemon(int gateway)
 {
-    return gateway < SITE_GATEWAYS ? SITE_STATES + gateway : SITE_STATES + site_further_states + gateway;
+    return gateway < SITE_GATEWAYS ? SITE_REPLICAS + gateway : SITE_REPLICAS + site_extra_replicas + gateway;
 }
 
 static bool site_is_gateway(int daemon)
 {
-    return (daemon >= SITE_STATES && daemon < SITE_FIRST_DAEMONS) || daemon >= SITE_FIRST_DAEMONS + site_further_states;
+    return (daemon >= SITE_REPLICAS && daemon < SITE_BASE_DAEMONS) || daemon >= SITE_BASE_DAEMONS + site_extra_replicas;
 }
 
 const char *site_caller_ip(int gateway)
@@ -94,9 +93,9 @@
     return site_ip(site_gateway_daemon(gateway));
 }
 
-const char *site_control_ip(int state)
+const char *site_control_ip(int replica)
 {
-    return site_ip(site_state_daemon(state));
+    return site_ip(site_replica_daemon(replica));
 }
 
 pid_t site_process(int daemon)
@@ -110,7 +109,7 @@
     FILE *file = fopen(path, "w");
     ck_assert_ptr_nonnull(file);
     fprintf(file, "name: \"machine-%d\"\nzone: \"z%d\"\nip: \"%s\"\npeer_port: %d\nbootstrap: %s\n", daemon,
-            daemon % SITE_STATES + 1, site_ip(daemon), site_peer_port, site_formed ? "false" : "true");
+            daemon % SITE_REPLICAS + 1, site_ip(daemon), site_peer_port, site_bootstrapped ? "false" : "true");
     fprintf(file, "machine_list: \"127.0.0.1:%d\"\nlist_period_ms: 100\ngrace_s: 6\n", site_list_port);
     if (site_memory_mb > 0) {
         fprintf(file, "memory_mb: %d\n", site_memory_mb);
@@ -120,17 +119,17 @@
         fprintf(file, "caller_address: \"%s:%d\"\nready_address: \"%s:%d\"\n", site_ip(daemon), site_caller_port,
                 site_ip(daemon), site_ready_port);
     } else {
-        fprintf(file, "data: \"%s/data-%d\"\ncontrol_address: \"%s:%d\"\n", site_folder, daemon, site_ip(daemon),
+        fprintf(file, "data: \"%s/data-%d\"\ncontrol_address: \"%s:%d\"\n", site_directory, daemon, site_ip(daemon),
                 site_control_port);
     }
     fprintf(file, "seeds:\n");
-    for (int i = 0; i < SITE_STATES; i++) {
+    for (int i = 0; i < SITE_REPLICAS; i++) {
         fprintf(file, "  - address: \"%s:%d\"\n", site_ip(site_seeds[i]), site_control_port);
     }
     fclose(file);
 }
 
-void site_refer_watchers(int above)
+void site_set_refer_above(int above)
 {
     site_refer_above = above;
 }
@@ -140,9 +139,9 @@
     site_memory_mb = megabytes;
 }
 
-/* In the daemon's own process, before its program begins. A sanitizer's own memory would not fit: there the daemon
- * is only told its limit. */
-static void site_apply_limit(void)
+/* For the child process before exec. Sets no limit with sanitizers, whose own memory would exceed the limit; the daemon
+ * then has the limit in its settings only. */
+static void site_apply_memory_limit(void)
 {
 #if !defined(__SANITIZE_ADDRESS__) && !defined(__SANITIZE_THREAD__)
     rlim_t bytes = (rlim_t)site_memory_mb << 20;
@@ -153,8 +152,9 @@
 #endif
 }
 
-/* What the version before does not know, as a deployment passes it to both (node_settings.h). */
-static void site_set_further(void)
+/* Passes settings that the previous version does not know in the environment, as in a deployment: unknown keys in the
+ * settings file are errors (node_settings.h). */
+static void site_export_settings(void)
 {
     struct buffer text = {0};
     buffer_printf(&text, "closed_port: %d\n", site_hides_closed_port ? 0 : site_closed_port);
@@ -162,7 +162,7 @@
         buffer_printf(&text, "refer_above: %d\n", site_refer_above);
     }
     buffer_append_text(&text, "zones:\n");
-    for (int i = 0; i < SITE_STATES; i++) {
+    for (int i = 0; i < SITE_REPLICAS; i++) {
         buffer_printf(&text, "  - name: \"z%d\"\n    region: \"%s\"\n", i + 1, i == 1 ? "r2" : "r1");
     }
     setenv("BANKBANK_FURTHER", buffer_text(&text), 1);
@@ -179,7 +179,7 @@
     memcpy(site_seeds, daemons, sizeof(site_seeds));
     for (int daemon = 0; daemon < site_daemons(); daemon++) {
         char settings[128];
-        snprintf(settings, sizeof(settings), "%s/settings-%d.yaml", site_folder, daemon);
+        snprintf(settings, sizeof(settings), "%s/settings-%d.yaml", site_directory, daemon);
         site_write_settings(daemon, settings);
         kill(site_processes[daemon], SIGHUP);
     }
@@ -190,95 +190,96 @@
     char settings[128];
     char log[128];
     char program[256];
-    char data[128];
-    snprintf(settings, sizeof(settings), "%s/settings-%d.yaml", site_folder, daemon);
-    snprintf(log, sizeof(log), "%s/log-%d", site_folder, daemon);
-    snprintf(data, sizeof(data), "mkdir -p %s/data-%d", site_folder, daemon);
+    char mkdir_command[128];
+    snprintf(settings, sizeof(settings), "%s/settings-%d.yaml", site_directory, daemon);
+    snprintf(log, sizeof(log), "%s/log-%d", site_directory, daemon);
+    snprintf(mkdir_command, sizeof(mkdir_command), "mkdir -p %s/data-%d", site_directory, daemon);
     snprintf(program, sizeof(program), "%s/bankbank-site",
              site_builds[daemon] == NULL ? site_build : site_builds[daemon]);
-    ck_assert_int_eq(system(data), 0);
+    ck_assert_int_eq(system(mkdir_command), 0);
     site_write_settings(daemon, settings);
     site_processes[daemon] = fork();
     ck_assert_int_ge(site_processes[daemon], 0);
     if (site_processes[daemon] == 0) {
-        int file = open(log, O_WRONLY | O_CREAT | O_APPEND, 0600);
-        dup2(file, STDOUT_FILENO);
-        dup2(file, STDERR_FILENO);
-        prctl(PR_SET_PDEATHSIG, SIGKILL); /* a test that fails leaves no daemon behind */
-        signal(SIGXFSZ, SIG_IGN);         /* a limit of file sizes is an error of the write, as a full disk is */
-        site_apply_limit();
-        site_set_further();
+        int fd = open(log, O_WRONLY | O_CREAT | O_APPEND, 0600);
+        dup2(fd, STDOUT_FILENO);
+        dup2(fd, STDERR_FILENO);
+        prctl(PR_SET_PDEATHSIG, SIGKILL); /* kills the daemon if the test process dies */
+        signal(SIGXFSZ, SIG_IGN);         /* makes writes beyond the file size limit fail, as on a full disk */
+        site_apply_memory_limit();
+        site_export_settings();
         execl(program, program, "--config", settings, (char *)NULL);
         _exit(127);
     }
 }
 
-int site_end_daemon(int daemon, int signal_number)
+int site_kill_daemon(int daemon, int signal_number)
 {
     int status = 0;
     ck_assert_int_gt(site_processes[daemon], 0);
     kill(site_processes[daemon], signal_number);
-    kill(site_processes[daemon], SIGCONT); /* a test that failed may have left it stopped */
+    kill(site_processes[daemon], SIGCONT); /* a failed test may have left it suspended */
     waitpid(site_processes[daemon], &status, 0);
     site_processes[daemon] = 0;
     return status;
 }
 
-void site_lose_disk(int state)
+void site_remove_data(int daemon)
 {
     char command[128];
-    snprintf(command, sizeof(command), "rm -rf %s/data-%d", site_folder, state);
+    snprintf(command, sizeof(command), "rm -rf %s/data-%d", site_directory, daemon);
     ck_assert_int_eq(system(command), 0);
 }
 
 void site_wait(bool (*reached)(void *context), void *context, const char *what)
 {
-    uint64_t end_ms = clock_monotonic_ms() + SITE_LIMIT_MS;
+    uint64_t end_ms = clock_monotonic_ms() + SITE_TIMEOUT_MS;
     while (!reached(context)) {
-        ck_assert_msg(clock_monotonic_ms() < end_ms, "not reached: %s", what);
-        clock_sleep_us(SITE_STEP_US);
+        ck_assert_msg(clock_monotonic_ms() < end_ms, "timeout, condition not met: %s", what);
+        clock_sleep_us(SITE_POLL_US);
     }
 }
 
 /* ---- Calls ---------------------------------------------------------------------------------------- */
 
-static void site_exchange(const char *ip, int port, const char *request, size_t length, struct site_answer *answer)
+static void site_send_request(const char *ip, int port, const char *request, size_t length,
+                              struct site_response *response)
 {
     struct http_reader reader;
-    memset(answer, 0, sizeof(*answer));
-    int file = site_connect(ip, port);
-    if (file < 0) {
+    memset(response, 0, sizeof(*response));
+    int fd = site_connect(ip, port);
+    if (fd < 0) {
         return;
     }
-    site_send(file, request, length);
-    answer->whole = site_read(file, &reader, HTTP_RESPONSE, &answer->body);
-    answer->status = reader.status;
-    buffer_append(&answer->head, reader.head.data, reader.head.length);
+    site_send(fd, request, length);
+    response->complete = site_read(fd, &reader, HTTP_RESPONSE, &response->body);
+    response->status = reader.status;
+    buffer_append(&response->head, reader.head.data, reader.head.length);
     http_reader_close(&reader);
-    close(file);
+    close(fd);
 }
 
 void site_call_as(int gateway, const char *id, const char *method, const char *path, const char *lines,
-                  const char *body, struct site_answer *answer)
+                  const char *body, struct site_response *response)
 {
-    static int next_id;
-    char fresh[32];
+    static int last_id;
+    char generated[32];
     struct buffer request = {0};
-    snprintf(fresh, sizeof(fresh), "r%d-%d", (int)getpid(), ++next_id);
+    snprintf(generated, sizeof(generated), "r%d-%d", (int)getpid(), ++last_id);
     buffer_printf(&request, "%s %s HTTP/1.1\r\nHost: app.example\r\nBankbank-Request-Id: %s\r\nConnection: close\r\n%s",
-                  method, path, id == NULL ? fresh : id, lines);
+                  method, path, id == NULL ? generated : id, lines);
     if (body != NULL) {
         buffer_printf(&request, "Content-Length: %zu\r\n", strlen(body));
     }
     buffer_printf(&request, "\r\n%s", body == NULL ? "" : body);
-    site_exchange(site_caller_ip(gateway), site_caller_port, buffer_text(&request), request.length, answer);
+    site_send_request(site_caller_ip(gateway), site_caller_port, buffer_text(&request), request.length, response);
     buffer_close(&request);
 }
 
 void site_call(int gateway, const char *method, const char *path, const char *lines, const char *body,
-               struct site_answer *answer)
+               struct site_response *response)
 {
-    site_call_as(gateway, NULL, method, path, lines, body, answer);
+    site_call_as(gateway, NULL, method, path, lines, body, response);
 }
 
 struct site_turn {
@@ -286,48 +287,49 @@
     int number;
 };
 
-static bool site_turn_is_served(void *context)
+static bool site_large_turn_is_served(void *context)
 {
     static char text[SITE_TURN_BYTES + 1];
     const struct site_turn *turn = context;
     char lines[160];
-    struct site_answer answer;
+    struct site_response response;
     memset(text, 'a' + turn->number % 26, sizeof(text) - 1);
     snprintf(lines, sizeof(lines),
              "Bankbank-Program-Id: p-%d\r\nBankbank-Token-Budget: 100000\r\nBankbank-Token-Usage: 10,15\r\n",
              turn->number);
-    site_call(turn->gateway, "POST", "/chat/x", lines, text, &answer);
-    int status = answer.status;
-    site_answer_close(&answer);
+    site_call(turn->gateway, "POST", "/chat/x", lines, text, &response);
+    int status = response.status;
+    site_response_close(&response);
     return status == 200;
 }
 
 void site_large_turn(int gateway, int number)
 {
     struct site_turn turn = {.gateway = gateway, .number = number};
-    site_wait(site_turn_is_served, &turn, "a large turn is served");
+    site_wait(site_large_turn_is_served, &turn, "a large turn is served");
 }
 
-void site_answer_close(struct site_answer *answer)
+void site_response_close(struct site_response *response)
 {
-    buffer_close(&answer->head);
-    buffer_close(&answer->body);
+    buffer_close(&response->head);
+    buffer_close(&response->body);
 }
 
-int site_order(int state, const char *method, const char *path, const char *body, struct buffer *reply)
+int site_operator_call(int replica, const char *method, const char *path, const char *body,
+                       struct buffer *response_body)
 {
-    struct site_answer answer;
+    struct site_response response;
     struct buffer request = {0};
     size_t length = body == NULL ? 0 : strlen(body);
     buffer_printf(&request,
                   "%s %s HTTP/1.1\r\nHost: x\r\nContent-Type: application/json\r\nContent-Length: %zu\r\n\r\n%s",
                   method, path, length, body == NULL ? "" : body);
-    site_exchange(site_control_ip(state), site_control_port, buffer_text(&request), request.length, &answer);
-    if (reply != NULL) {
-        buffer_append(reply, answer.body.data, answer.body.length);
+    site_send_request(site_control_ip(replica), site_control_port, buffer_text(&request), request.length, &response);
+    if (response_body != NULL) {
+        buffer_append(response_body, response.body.data, response.body.length);
     }
-    int status = answer.status;
-    site_answer_close(&answer);
+    int status = response.status;
+    site_response_close(&response);
     buffer_close(&request);
     return status;
 }
@@ -359,27 +361,27 @@
     return buffer_text(&text);
 }
 
-void site_set_disk_full(int state, bool full)
+void site_set_disk_full(int daemon, bool full)
 {
-    struct rlimit limit = {.rlim_cur = full ? SITE_FULL_BYTES : RLIM_INFINITY, .rlim_max = RLIM_INFINITY};
-    if (site_processes[state] != 0) {
-        prlimit(site_processes[state], RLIMIT_FSIZE, &limit, NULL);
+    struct rlimit limit = {.rlim_cur = full ? SITE_FULL_DISK_MAX_FILE_BYTES : RLIM_INFINITY, .rlim_max = RLIM_INFINITY};
+    if (site_processes[daemon] != 0) {
+        prlimit(site_processes[daemon], RLIMIT_FSIZE, &limit, NULL);
     }
 }
 
 double site_metric(int daemon, const char *name)
 {
     static const char request[] = "GET /metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
-    struct site_answer answer;
+    struct site_response response;
     double value = -1;
     char key[96];
-    site_exchange(site_ip(daemon), site_metrics_port, request, sizeof(request) - 1, &answer);
+    site_send_request(site_ip(daemon), site_metrics_port, request, sizeof(request) - 1, &response);
     snprintf(key, sizeof(key), "\nbankbank_%s ", name);
-    const char *at = strstr(buffer_text(&answer.body), key);
+    const char *at = strstr(buffer_text(&response.body), key);
     if (at != NULL) {
         value = strtod(at + strlen(key), NULL);
     }
-    site_answer_close(&answer);
+    site_response_close(&response);
     return value;
 }
 
@@ -387,11 +389,11 @@
 {
     char path[128];
     struct buffer log = {0};
-    snprintf(path, sizeof(path), "%s/log-%d", site_folder, daemon);
+    snprintf(path, sizeof(path), "%s/log-%d", site_directory, daemon);
     FILE *file = fopen(path, "r");
     size_t got = 0;
     do {
-        got = file == NULL ? 0 : fread(buffer_reserve(&log, SITE_LOG_STEP), 1, SITE_LOG_STEP, file);
+        got = file == NULL ? 0 : fread(buffer_reserve(&log, SITE_LOG_CHUNK_BYTES), 1, SITE_LOG_CHUNK_BYTES, file);
         log.length += got;
     } while (got > 0);
     if (file != NULL) {
@@ -402,45 +404,45 @@
     return has;
 }
 
-/* ---- The whole ------------------------------------------------------------------------------------- */
+/* ---- Site ------------------------------------------------------------------------------------------ */
 
-static bool site_takes_configuration(void *context)
+static bool site_configuration_is_accepted(void *context)
 {
-    return site_order(0, "POST", "/api/config/replace", context, NULL) == 200;
+    return site_operator_call(0, "POST", "/api/config/replace", context, NULL) == 200;
 }
 
-static bool site_is_ready(void *context)
+static bool site_gateway_is_ready(void *context)
 {
     static const char request[] = "GET /api/readyz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
-    struct site_answer answer;
+    struct site_response response;
     int gateway = *(int *)context;
-    site_exchange(site_caller_ip(gateway), site_ready_port, request, sizeof(request) - 1, &answer);
-    bool ready = answer.status == 200;
-    site_answer_close(&answer);
+    site_send_request(site_caller_ip(gateway), site_ready_port, request, sizeof(request) - 1, &response);
+    bool ready = response.status == 200;
+    site_response_close(&response);
     return ready;
 }
 
-/* A suite that fails leaves logs and data, and says where. */
-static void site_leave_folders(int status, void *unused)
+/* Exit handler: removes the data directories, or prints them if the program failed. */
+static void site_remove_directories(int status, void *unused)
 {
     (void)unused;
-    for (int i = 0; i < site_folder_count && getpid() == site_folders_of; i++) {
-        char command[SITE_COMMAND];
-        snprintf(command, sizeof(command), status == 0 ? "rm -rf %s" : "echo logs and data: %s", site_folders[i]);
+    for (int i = 0; i < site_directory_count && getpid() == site_directories_owner; i++) {
+        char command[SITE_COMMAND_BYTES];
+        snprintf(command, sizeof(command), status == 0 ? "rm -rf %s" : "echo logs and data: %s", site_directories[i]);
         if (system(command) != 0) {
-            printf("not carried out: %s\n", command);
+            printf("command failed: %s\n", command);
         }
     }
 }
 
-/* Suites ask once and expect an answer: what the machine's own disk does beside them is not theirs to judge. */
-static const char *site_base(void)
+/* Prefers tmpfs: tests send requests without retries, which could fail on a slow disk. */
+static const char *site_base_directory(void)
 {
-    static const char memory[] = "/dev/shm"; /* a file system in memory, where there is one */
-    struct statvfs room;
-    bool fits = !site_on_disk && access(memory, W_OK) == 0 && statvfs(memory, &room) == 0 &&
-                (uint64_t)room.f_bavail * room.f_frsize >= SITE_MEMORY_ROOM;
-    return fits ? memory : "/tmp";
+    static const char tmpfs[] = "/dev/shm";
+    struct statvfs space;
+    bool use_tmpfs = !site_on_disk && access(tmpfs, W_OK) == 0 && statvfs(tmpfs, &space) == 0 &&
+                     (uint64_t)space.f_bavail * space.f_frsize >= SITE_MIN_TMPFS_BYTES;
+    return use_tmpfs ? tmpfs : "/tmp";
 }
 
 void site_store_on_disk(void)
@@ -448,96 +450,97 @@
     site_on_disk = true;
 }
 
-static void site_make_folder(void)
+static void site_make_directory(void)
 {
-    if (site_folder_count == 0) {
-        ck_assert_int_eq(on_exit(site_leave_folders, NULL), 0);
-        site_folders_of = getpid();
+    if (site_directory_count == 0) {
+        ck_assert_int_eq(on_exit(site_remove_directories, NULL), 0);
+        site_directories_owner = getpid();
     }
-    ck_assert_int_lt(site_folder_count, SITE_FOLDERS);
-    snprintf(site_folder, sizeof(site_folder), "%s/bankbank-site-XXXXXX", site_base());
-    ck_assert_ptr_nonnull(mkdtemp(site_folder));
-    memcpy(site_folders[site_folder_count++], site_folder, sizeof(site_folder));
+    ck_assert_int_lt(site_directory_count, SITE_MAX_DIRECTORIES);
+    snprintf(site_directory, sizeof(site_directory), "%s/bankbank-site-XXXXXX", site_base_directory());
+    ck_assert_ptr_nonnull(mkdtemp(site_directory));
+    memcpy(site_directories[site_directory_count++], site_directory, sizeof(site_directory));
 }
 
 static void site_prepare(void)
 {
     signal(SIGPIPE, SIG_IGN);
-    site_make_folder();
-    site_formed = false;
-    site_further = 0;
-    site_further_states = 0;
-    site_caller_port = ports_take();
-    site_control_port = ports_take();
-    site_ready_port = ports_take();
-    site_metrics_port = ports_take();
-    site_peer_port = ports_take();
-    site_closed_port = ports_take();
+    site_make_directory();
+    site_bootstrapped = false;
+    site_extra_daemons = 0;
+    site_extra_replicas = 0;
+    site_caller_port = ports_allocate();
+    site_control_port = ports_allocate();
+    site_ready_port = ports_allocate();
+    site_metrics_port = ports_allocate();
+    site_peer_port = ports_allocate();
+    site_closed_port = ports_allocate();
     site_servers_start(&site_list_port);
 }
 
-static void site_form(void)
+static void site_wait_until_bootstrapped(void)
 {
     char *configuration = site_configuration(1, "");
-    site_wait(site_takes_configuration, configuration, "the first configuration is taken");
+    site_wait(site_configuration_is_accepted, configuration, "the first configuration is accepted");
     free(configuration);
-    site_formed = true;
+    site_bootstrapped = true;
     for (int i = 0; i < SITE_GATEWAYS; i++) {
-        site_wait(site_is_ready, &i, "the gateways are ready");
+        site_wait(site_gateway_is_ready, &i, "the gateways are ready");
     }
 }
 
 void site_start(void)
 {
     site_prepare();
-    for (int i = 0; i < SITE_FIRST_DAEMONS; i++) {
+    for (int i = 0; i < SITE_BASE_DAEMONS; i++) {
         site_start_daemon(i);
     }
-    site_form();
+    site_wait_until_bootstrapped();
 }
 
-void site_start_shape(int states, int gateways)
+void site_start_sized(int replicas, int gateways)
 {
     site_prepare();
-    site_further_states = states - SITE_STATES;
-    site_further = site_further_states + gateways - SITE_GATEWAYS;
-    ck_assert_int_ge(site_further_states, 0);
+    site_extra_replicas = replicas - SITE_REPLICAS;
+    site_extra_daemons = site_extra_replicas + gateways - SITE_GATEWAYS;
+    ck_assert_int_ge(site_extra_replicas, 0);
     ck_assert_int_ge(gateways, SITE_GATEWAYS);
-    ck_assert_int_le(site_further, SITE_FURTHER);
+    ck_assert_int_le(site_extra_daemons, SITE_MAX_EXTRA_DAEMONS);
     for (int i = 0; i < site_daemons(); i++) {
         site_start_daemon(i);
     }
-    site_form();
+    site_wait_until_bootstrapped();
 }
 
-void site_start_many(int count)
+void site_start_with_extra_replicas(int count)
 {
     site_prepare();
-    site_further = count;
-    site_further_states = count;
+    site_extra_daemons = count;
+    site_extra_replicas = count;
     site_start_daemon(0);
-    for (int i = SITE_STATES; i < site_daemons(); i++) {
+    for (int i = SITE_REPLICAS; i < site_daemons(); i++) {
         site_start_daemon(i);
     }
-    clock_sleep_us(SITE_HEAD_START_US);
-    for (int i = 1; i < SITE_STATES; i++) {
+    clock_sleep_us(SITE_SEED_START_DELAY_US);
+    for (int i = 1; i < SITE_REPLICAS; i++) {
         site_start_daemon(i);
     }
-    site_form();
+    site_wait_until_bootstrapped();
 }
 
 void site_stop(void)
 {
-    for (int i = SITE_DAEMONS - 1; i >= 0; i--) {
+    for (int i = SITE_MAX_DAEMONS - 1; i >= 0; i--) {
         if (site_processes[i] != 0) {
             kill(site_processes[i], SIGTERM);
         }
     }
-    for (int i = SITE_DAEMONS - 1; i >= 0; i--) {
+    for (int i = SITE_MAX_DAEMONS - 1; i >= 0; i--) {
         if (site_processes[i] != 0) {
             int status = 0;
             waitpid(site_processes[i], &status, 0);
-            ck_assert_msg(WIFEXITED(status) && WEXITSTATUS(status) == 0, "daemon %d ended with %d", i, status);
+            ck_assert_msg(WIFEXITED(status) && WEXITSTATUS(status) == 0,
+                          "daemon %d did not exit cleanly: wait status %x", i, (unsigned)status);
         }
     }
 }
--- a/tests/integration/support_site_io.c
+++ b/tests/integration/support_site_io.c
@@ -1,4 +1,4 @@
-/* Sockets and messages of the site's stand-in. */
+/* Sockets and HTTP messages of the simulated platform. */
 #include "site_internal.h"
 
 #include <arpa/inet.h>
@@ -14,10 +14,10 @@
 #include "site.h"
 
 enum {
-    SITE_HEAD = 1 << 14,
-    SITE_LAIN_SECONDS = 4, /* for which lateness is remembered */
+    SITE_MAX_HEAD_BYTES = 1 << 14,
+    SITE_READ_DELAY_WINDOW_S = 4, /* for which site_read_delay_ms() reports delays */
     SITE_MS_PER_S = 1000,
-    SITE_STATUS_OFFSET = 9 /* of the digits in an answer's first line */
+    SITE_STATUS_OFFSET = 9 /* of the code in a status line */
 };
 
 /* ---- Sockets ------------------------------------------------------------------------ */
@@ -32,34 +32,34 @@
 int site_connect(const char *ip, int port)
 {
     struct sockaddr_in address = site_address(ip, port);
-    struct timeval limit = {.tv_sec = SITE_LIMIT_MS / 1000};
+    struct timeval limit = {.tv_sec = SITE_TIMEOUT_MS / 1000};
     int on = 1;
-    int file = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-    setsockopt(file, SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof(limit));
-    setsockopt(file, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
-    if (connect(file, (struct sockaddr *)&address, sizeof(address)) != 0) {
-        close(file);
+    int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+    setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof(limit));
+    setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
+    if (connect(fd, (struct sockaddr *)&address, sizeof(address)) != 0) {
+        close(fd);
         return -1;
     }
-    return file;
+    return fd;
 }
 
 int site_listen(const char *ip, int *port)
 {
     struct sockaddr_in address = site_address(ip, 0);
     socklen_t size = sizeof(address);
-    int file = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-    ck_assert_int_eq(bind(file, (struct sockaddr *)&address, sizeof(address)), 0);
-    ck_assert_int_eq(listen(file, 128), 0);
-    getsockname(file, (struct sockaddr *)&address, &size);
+    int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+    ck_assert_int_eq(bind(fd, (struct sockaddr *)&address, sizeof(address)), 0);
+    ck_assert_int_eq(listen(fd, 128), 0);
+    getsockname(fd, (struct sockaddr *)&address, &size);
     *port = ntohs(address.sin_port);
-    return file;
+    return fd;
 }
 
-void site_send(int file, const char *text, size_t length)
+void site_send(int fd, const char *text, size_t length)
 {
     while (length > 0) {
-        ssize_t sent = send(file, text, length, MSG_NOSIGNAL);
+        ssize_t sent = send(fd, text, length, MSG_NOSIGNAL);
         if (sent <= 0) {
             return;
         }
@@ -70,7 +70,7 @@
 
 /* ---- Reading messages ------------------------------------------------------------------ */
 
-static bool site_on_head(void *context, struct http_reader *reader)
+static bool site_ignore_event(void *context, struct http_reader *reader)
 {
     (void)context;
     (void)reader;
@@ -84,55 +84,55 @@
     return true;
 }
 
-/* The longest time that bytes lay unread, by second. */
-static pthread_mutex_t lain_lock = PTHREAD_MUTEX_INITIALIZER;
-static uint64_t lain_seconds[SITE_LAIN_SECONDS];
-static uint64_t lain_most_ms[SITE_LAIN_SECONDS];
+/* The longest read delay of each second, in a ring; protected by delay_lock. */
+static pthread_mutex_t delay_lock = PTHREAD_MUTEX_INITIALIZER;
+static uint64_t delay_seconds[SITE_READ_DELAY_WINDOW_S];
+static uint64_t max_delay_ms[SITE_READ_DELAY_WINDOW_S];
 
-void site_note_lain(int file)
+void site_record_read_delay(int fd)
 {
     struct tcp_info info = {0};
     socklen_t size = sizeof(info);
-    if (getsockopt(file, IPPROTO_TCP, TCP_INFO, &info, &size) != 0) {
+    if (getsockopt(fd, IPPROTO_TCP, TCP_INFO, &info, &size) != 0) {
         return;
     }
     uint64_t second = clock_monotonic_ms() / SITE_MS_PER_S;
-    size_t place = second % SITE_LAIN_SECONDS;
-    pthread_mutex_lock(&lain_lock);
-    if (lain_seconds[place] != second) {
-        lain_seconds[place] = second;
-        lain_most_ms[place] = 0;
+    size_t slot = second % SITE_READ_DELAY_WINDOW_S;
+    pthread_mutex_lock(&delay_lock);
+    if (delay_seconds[slot] != second) {
+        delay_seconds[slot] = second;
+        max_delay_ms[slot] = 0;
     }
-    if (info.tcpi_last_data_recv > lain_most_ms[place]) {
-        lain_most_ms[place] = info.tcpi_last_data_recv;
+    if (info.tcpi_last_data_recv > max_delay_ms[slot]) {
+        max_delay_ms[slot] = info.tcpi_last_data_recv;
     }
-    pthread_mutex_unlock(&lain_lock);
+    pthread_mutex_unlock(&delay_lock);
 }
 
-uint64_t site_late_ms(void)
+uint64_t site_read_delay_ms(void)
 {
     uint64_t second = clock_monotonic_ms() / SITE_MS_PER_S;
-    uint64_t most_ms = 0;
-    pthread_mutex_lock(&lain_lock);
-    for (size_t i = 0; i < SITE_LAIN_SECONDS; i++) {
-        bool recent = lain_seconds[i] + SITE_LAIN_SECONDS > second;
-        most_ms = recent && lain_most_ms[i] > most_ms ? lain_most_ms[i] : most_ms;
+    uint64_t longest_ms = 0;
+    pthread_mutex_lock(&delay_lock);
+    for (size_t i = 0; i < SITE_READ_DELAY_WINDOW_S; i++) {
+        bool recent = delay_seconds[i] + SITE_READ_DELAY_WINDOW_S > second;
+        longest_ms = recent && max_delay_ms[i] > longest_ms ? max_delay_ms[i] : longest_ms;
     }
-    pthread_mutex_unlock(&lain_lock);
-    return most_ms;
+    pthread_mutex_unlock(&delay_lock);
+    return longest_ms;
 }
 
-bool site_read(int file, struct http_reader *reader, enum http_parser_type type, struct buffer *body)
+bool site_read(int fd, struct http_reader *reader, enum http_parser_type type, struct buffer *body)
 {
     char part[4096];
     memset(reader, 0, sizeof(*reader));
     reader->type = type;
-    reader->max_head_bytes = SITE_HEAD;
+    reader->max_head_bytes = SITE_MAX_HEAD_BYTES;
     reader->max_body_bytes = 1 << 24;
-    reader->events = (struct http_reader_events){body, site_on_head, site_on_body, site_on_head};
+    reader->events = (struct http_reader_events){body, site_ignore_event, site_on_body, site_ignore_event};
     http_reader_reset(reader);
-    while (!reader->complete && reader->fault == HTTP_FAULT_NONE) {
-        ssize_t got = recv(file, part, sizeof(part), 0);
+    while (!reader->complete && reader->error == HTTP_PARSE_ERROR_NONE) {
+        ssize_t got = recv(fd, part, sizeof(part), 0);
         if (got <= 0) {
             http_reader_end(reader);
             break;
@@ -142,10 +142,10 @@
     return reader->complete;
 }
 
-int site_read_status(int file)
+int site_read_status(int fd)
 {
-    char answer[512] = "";
-    ssize_t got = recv(file, answer, sizeof(answer) - 1, 0);
-    close(file);
-    return got > SITE_STATUS_OFFSET ? atoi(answer + SITE_STATUS_OFFSET) : 0;
+    char response[512] = "";
+    ssize_t got = recv(fd, response, sizeof(response) - 1, 0);
+    close(fd);
+    return got > SITE_STATUS_OFFSET ? atoi(response + SITE_STATUS_OFFSET) : 0;
 }
--- a/tests/integration/test_attempts.c
+++ b/tests/integration/test_attempts.c
@@ -1,5 +1,5 @@
-/* On how many servers one request runs: real daemons before servers that refuse, fall silent or are slow to take
- * connections, and gateways that get little time to run. All servers live on through every test. */
+/* Guards against a request that runs on more servers than its route allows, after a server refused it or while the
+ * gateway was suspended. */
 #include <pthread.h>
 #include <signal.h>
 #include <stdio.h>
@@ -13,29 +13,28 @@
 #include "site_internal.h"
 
 enum {
-    REQUESTS = 4,           /* of one test */
-    FULL_US = 150 * 1000,   /* time that a server stays full */
-    STOPPED_US = 70 * 1000, /* a gateway's turn without the processor */
-    RUNNING_US = 5 * 1000,  /* and with it */
-    TURNS = 20
+    REQUESTS = 4,
+    REFUSING_US = 150 * 1000,
+    SUSPENDED_US = 70 * 1000,
+    RUNNING_US = 5 * 1000, /* between suspensions */
+    SUSPENSIONS = 20
 };
 
-/* A request of the test under way, and the servers that ran it. */
 struct request {
     char id[32];
     bool ran_on[SITE_SERVERS];
     int runs;
-    bool whole;
+    bool complete;
     int status;
     pthread_t thread;
 };
 
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
 static struct request requests[REQUESTS];
-static int requests_made;
-static bool refuse_after_run; /* the server that ran a request takes no further one */
+static int last_id;
+static bool refuse_after_run; /* a server refuses further requests once it has run one */
 
-static void note_run(const site_run_t *run)
+static void record_run(const site_run_t *run)
 {
     pthread_mutex_lock(&lock);
     for (int i = 0; i < REQUESTS; i++) {
@@ -51,7 +50,7 @@
     }
 }
 
-static int servers_of(const struct request *request)
+static int count_servers(const struct request *request)
 {
     int servers = 0;
     for (int i = 0; i < SITE_SERVERS; i++) {
@@ -60,15 +59,15 @@
     return servers;
 }
 
-/* The route of the stream allows one server. */
-static void *make_request(void *argument)
+/* Requests a stream on a route with max-attempts 1. */
+static void *run_request(void *argument)
 {
     struct request *request = argument;
-    struct site_answer answer;
-    site_call_as(0, request->id, "POST", "/open/chat/x", "Bankbank-Deadline-Ms: 2900\r\n", "prompt", &answer);
-    request->whole = answer.whole;
-    request->status = answer.status;
-    site_answer_close(&answer);
+    struct site_response response;
+    site_call_as(0, request->id, "POST", "/open/chat/x", "Bankbank-Deadline-Ms: 2900\r\n", "prompt", &response);
+    request->complete = response.complete;
+    request->status = response.status;
+    site_response_close(&response);
     return NULL;
 }
 
@@ -84,65 +83,64 @@
     return running == count;
 }
 
-/* Starts requests, and waits until each one runs. */
-static void begin_requests(int count)
+/* Waits until each of the requests runs. */
+static void start_requests(int count)
 {
     pthread_mutex_lock(&lock);
     memset(requests, 0, sizeof(requests));
     for (int i = 0; i < count; i++) {
-        snprintf(requests[i].id, sizeof(requests[i].id), "a-%d", ++requests_made);
+        snprintf(requests[i].id, sizeof(requests[i].id), "a-%d", ++last_id);
     }
     pthread_mutex_unlock(&lock);
     for (int i = 0; i < count; i++) {
-        pthread_create(&requests[i].thread, NULL, make_request, &requests[i]);
+        pthread_create(&requests[i].thread, NULL, run_request, &requests[i]);
     }
     site_wait(all_run, &count, "each request runs");
 }
 
-/* None ran on more servers than the route allows; tells how many have no whole answer. */
+/* Fails if a request ran on two servers; returns the number of requests without a complete response. */
 static int expect_one_server_each(int count)
 {
-    int spread = 0;
-    int broken = 0;
+    int on_several = 0;
+    int incomplete = 0;
     for (int i = 0; i < count; i++) {
         pthread_join(requests[i].thread, NULL);
-        spread += servers_of(&requests[i]) > 1 ? 1 : 0;
-        broken += requests[i].whole && requests[i].status == 200 ? 0 : 1;
+        on_several += count_servers(&requests[i]) > 1 ? 1 : 0;
+        incomplete += requests[i].complete && requests[i].status == 200 ? 0 : 1;
     }
-    ck_assert_msg(spread == 0, "%d of %d requests ran on more servers than their route allows", spread, count);
-    return broken;
+    ck_assert_msg(on_several == 0, "%d of %d requests ran on more servers than the route allows", on_several, count);
+    return incomplete;
 }
 
-/* The stand-in lives in this process, so that no test may run in one of its own. */
 static void setup(void)
 {
     refuse_after_run = false;
     site_set_mode(-1, SITE_NORMAL);
-    site_echo(note_run);
+    site_echo_ids(record_run);
 }
 
-/* A server breaks off, and is full when the stream comes back to it: it is waited for. */
-START_TEST(a_stream_waits_for_its_server_that_is_full)
+/* A server closes the connection within the stream and refuses the resumption: the gateway must retry that server. */
+START_TEST(a_stream_waits_for_its_overloaded_server)
 {
     site_set_mode(-1, SITE_CUT_MIDWAY);
     refuse_after_run = true;
-    begin_requests(1);
-    clock_sleep_us(FULL_US);
+    start_requests(1);
+    clock_sleep_us(REFUSING_US);
     refuse_after_run = false;
     site_set_mode(-1, SITE_NORMAL);
     ck_assert_int_eq(expect_one_server_each(1), 0);
 }
 END_TEST
 
-/* A gateway that gets little time sees late what the servers answered at once. */
-START_TEST(a_gateway_that_is_held_up_loses_no_server)
+/* A gateway that reads prompt responses late, since it was suspended, must not treat the servers as unreachable. */
+START_TEST(a_suspended_gateway_keeps_its_servers)
 {
-    pid_t gateway = site_process(SITE_STATES);
+    pid_t gateway = site_process(SITE_REPLICAS);
     site_set_mode(-1, SITE_PAUSED);
-    begin_requests(REQUESTS);
-    for (int i = 0; i < TURNS; i++) {
+    start_requests(REQUESTS);
+    for (int i = 0; i < SUSPENSIONS; i++) {
         kill(gateway, SIGSTOP);
-        clock_sleep_us(STOPPED_US);
+        clock_sleep_us(SUSPENDED_US);
         kill(gateway, SIGCONT);
         clock_sleep_us(RUNNING_US);
     }
@@ -150,34 +148,34 @@
 }
 END_TEST
 
-static void note_probed(void *context, const char *address, bool answered)
+static void record_probe(void *context, const char *address, bool succeeded)
 {
     (void)address;
-    *(int *)context = answered ? 1 : 0;
+    *(int *)context = succeeded ? 1 : 0;
 }
 
-/* The kernel takes a connection while the process that dials waits for the processor, longer than a dial may last. */
-START_TEST(a_dial_that_was_answered_meanwhile_is_answered)
+/* A connection is accepted while the probing process is suspended for longer than the probe timeout. */
+START_TEST(a_probe_accepted_while_suspended_succeeds)
 {
     uv_loop_t loop;
     struct upstream_pool pool;
     struct address address;
     char text[32];
     int port = 0;
-    int answered = -1;
+    int succeeded = -1;
     int listener = site_listen("127.0.0.1", &port);
     snprintf(text, sizeof(text), "127.0.0.1:%d", port);
     ck_assert(address_parse(text, &address));
     uv_loop_init(&loop);
     upstream_init(&pool, &loop);
-    pool.probed = note_probed;
-    pool.probed_context = &answered;
+    pool.probed = record_probe;
+    pool.probed_context = &succeeded;
     upstream_probe(&pool, &address);
     clock_sleep_us(2 * UPSTREAM_PROBE_MS * 1000);
-    while (answered < 0) {
+    while (succeeded < 0) {
         uv_run(&loop, UV_RUN_ONCE);
     }
-    ck_assert_int_eq(answered, 1);
+    ck_assert_int_eq(succeeded, 1);
     upstream_close(&pool);
     uv_run(&loop, UV_RUN_DEFAULT);
     ck_assert_int_eq(uv_loop_close(&loop), 0);
@@ -193,11 +191,11 @@
     tcase_set_timeout(tests, 60);
     tcase_add_checked_fixture(tests, setup, NULL);
     tcase_add_unchecked_fixture(tests, site_start, site_stop);
-    tcase_add_test(tests, a_stream_waits_for_its_server_that_is_full);
-    tcase_add_test(tests, a_gateway_that_is_held_up_loses_no_server);
+    tcase_add_test(tests, a_stream_waits_for_its_overloaded_server);
+    tcase_add_test(tests, a_suspended_gateway_keeps_its_servers);
     suite_add_tcase(suite, tests);
-    TCase *dials = tcase_create("dials");
-    tcase_add_test(dials, a_dial_that_was_answered_meanwhile_is_answered);
-    suite_add_tcase(suite, dials);
-    return suite_run_in_process(suite);
+    TCase *probes = tcase_create("probes");
+    tcase_add_test(probes, a_probe_accepted_while_suspended_succeeds);
+    suite_add_tcase(suite, probes);
+    return suite_run_without_fork(suite); /* the simulated servers are threads of this process */
 }
--- a/tests/integration/test_explain.c
+++ b/tests/integration/test_explain.c
@@ -1,4 +1,4 @@
-/* bankbankctl explain: from an id to its cause, by logs as daemons write them. */
+/* bankbankctl explain: outcome of a request, and its cause, from the logs of daemons. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -7,7 +7,7 @@
 #include "../unit/suite.h"
 #include "base/buffer.h"
 
-enum { OUTPUT_MAX = 8192 };
+enum { MAX_OUTPUT_BYTES = 8192 };
 
 static const char *build = "build";
 static char log_path[64];
@@ -44,14 +44,14 @@
     char command[512];
     snprintf(command, sizeof(command), "%s/bankbankctl explain %s %s 2>&1", build, id, log_path);
     FILE *pipe = popen(command, "r");
-    size_t got = fread(output, 1, OUTPUT_MAX - 1, pipe);
+    size_t got = fread(output, 1, MAX_OUTPUT_BYTES - 1, pipe);
     output[got] = '\0';
     return pclose(pipe);
 }
 
-START_TEST(a_refusal_shows_what_was_lost_before)
+START_TEST(a_refusal_shows_preceding_context_events)
 {
-    char output[OUTPUT_MAX];
+    char output[MAX_OUTPUT_BYTES];
     ck_assert_int_eq(explain("late", output), 0);
     ck_assert_ptr_nonnull(strstr(output, "state_lost"));
     ck_assert_ptr_null(strstr(output, "edge-2"));
@@ -59,21 +59,21 @@
 }
 END_TEST
 
-START_TEST(the_first_decision_is_named)
+START_TEST(the_first_deciding_event_is_reported)
 {
-    char output[OUTPUT_MAX];
+    char output[MAX_OUTPUT_BYTES];
     ck_assert_int_eq(explain("cut", output), 0);
     ck_assert_ptr_nonnull(strstr(output, "decided by attempt_unknown at edge-1: the server broke off"));
     ck_assert_int_eq(explain("fine", output), 0);
-    ck_assert_ptr_nonnull(strstr(output, "answered whole"));
+    ck_assert_ptr_nonnull(strstr(output, "the request completed"));
 }
 END_TEST
 
 START_TEST(an_unknown_id_is_an_error)
 {
-    char output[OUTPUT_MAX];
+    char output[MAX_OUTPUT_BYTES];
     ck_assert_int_ne(explain("none", output), 0);
-    ck_assert_ptr_nonnull(strstr(output, "no line names none"));
+    ck_assert_ptr_nonnull(strstr(output, "no log line has the id none"));
 }
 END_TEST
 
@@ -83,8 +83,8 @@
     Suite *suite = suite_create("explain");
     TCase *tests = tcase_create("logs");
     tcase_add_checked_fixture(tests, setup, teardown);
-    tcase_add_test(tests, a_refusal_shows_what_was_lost_before);
-    tcase_add_test(tests, the_first_decision_is_named);
+    tcase_add_test(tests, a_refusal_shows_preceding_context_events);
+    tcase_add_test(tests, the_first_deciding_event_is_reported);
     tcase_add_test(tests, an_unknown_id_is_an_error);
     suite_add_tcase(suite, tests);
     return suite_run(suite);
--- a/tests/integration/test_fleet.c
+++ b/tests/integration/test_fleet.c
@@ -1,4 +1,5 @@
-/* Three real daemons: lost and restarted replicas, racing operators, hand-over, leaving back ends. */
+/* Three daemons: failed and restarted replicas, concurrent operators, handover of a program from another site, leaving
+ * machines. */
 #include <signal.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -24,7 +25,7 @@
     fleet_stop(&fleet);
 }
 
-/* Node that leads the configuration group as `node` sees it, 0: none. */
+/* Leader of the configuration group, as `node` knows it; 0: none. */
 static uint32_t configuration_leader(uint32_t node)
 {
     static const char *const words[] = {"status", "--json", NULL};
@@ -50,50 +51,50 @@
     return revision;
 }
 
-static uint32_t another(uint32_t node)
+static uint32_t next_node(uint32_t node)
 {
     return node % NODES + 1;
 }
 
-START_TEST(a_lost_leader_costs_a_pause_only)
+START_TEST(calls_continue_after_leader_failure)
 {
-    free(fleet_must_answer(&fleet, 1, program, 1, "one"));
-    free(fleet_must_answer(&fleet, 2, program, 2, "two"));
+    free(fleet_expect_answer(&fleet, 1, program, 1, "one"));
+    free(fleet_expect_answer(&fleet, 2, program, 2, "two"));
     uint32_t leader = configuration_leader(1);
     ck_assert_uint_ne(leader, 0);
-    fleet_end_node(&fleet, leader, SIGKILL);
-    uint32_t second = another(leader);
-    free(fleet_must_answer(&fleet, second, program, 3, "three"));
-    free(fleet_must_answer(&fleet, another(second), program, 4, "four"));
-    fleet_must_verify(&fleet, second, program, 4);
-    fleet_start_node(&fleet, leader);
+    fleet_kill_daemon(&fleet, leader, SIGKILL);
+    uint32_t second = next_node(leader);
+    free(fleet_expect_answer(&fleet, second, program, 3, "three"));
+    free(fleet_expect_answer(&fleet, next_node(second), program, 4, "four"));
+    fleet_expect_history(&fleet, second, program, 4);
+    fleet_start_daemon(&fleet, leader);
     fleet_wait_ready(&fleet, leader);
-    /* A second machine right after the repair. */
-    fleet_end_node(&fleet, second, SIGKILL);
-    free(fleet_must_answer(&fleet, leader, program, 5, "five"));
-    fleet_must_verify(&fleet, leader, program, 5);
+    /* Another replica fails as soon as the first has recovered. */
+    fleet_kill_daemon(&fleet, second, SIGKILL);
+    free(fleet_expect_answer(&fleet, leader, program, 5, "five"));
+    fleet_expect_history(&fleet, leader, program, 5);
 }
 END_TEST
 
 START_TEST(without_a_quorum_calls_are_refused_as_not_run)
 {
-    free(fleet_must_answer(&fleet, 1, program, 1, "one"));
-    fleet_end_node(&fleet, 2, SIGKILL);
-    fleet_end_node(&fleet, 3, SIGKILL);
-    struct fleet_answer answer;
-    fleet_ask(&fleet, 1, program, 2, "two", false, NULL, &answer);
-    ck_assert_int_eq(answer.status, 503);
-    ck_assert_str_ne(answer.run_state, "run");
-    ck_assert_str_ne(answer.retry_after, "");
-    fleet_answer_close(&answer);
-    fleet_start_node(&fleet, 2);
+    free(fleet_expect_answer(&fleet, 1, program, 1, "one"));
+    fleet_kill_daemon(&fleet, 2, SIGKILL);
+    fleet_kill_daemon(&fleet, 3, SIGKILL);
+    struct fleet_response response;
+    fleet_send_call(&fleet, 1, program, 2, "two", false, NULL, &response);
+    ck_assert_int_eq(response.status, 503);
+    ck_assert_str_ne(response.run_state, "run");
+    ck_assert_str_ne(response.retry_after, "");
+    fleet_response_close(&response);
+    fleet_start_daemon(&fleet, 2);
     fleet_wait_ready(&fleet, 2);
-    free(fleet_must_answer(&fleet, 2, program, 2, "two"));
-    fleet_must_verify(&fleet, 2, program, 2);
+    free(fleet_expect_answer(&fleet, 2, program, 2, "two"));
+    fleet_expect_history(&fleet, 2, program, 2);
 }
 END_TEST
 
-START_TEST(of_two_equal_changes_one_wins)
+START_TEST(one_of_two_conflicting_changes_succeeds)
 {
     char revision[32];
     char *first = NULL;
@@ -102,10 +103,10 @@
     const char *const one[] = {"create", "tenant", "bank", "api_key=key-of-aaa", "--expected-revision", revision, NULL};
     const char *const other[] = {"create", "tenant", "council", "api_key=key-of-bbb", "--expected-revision",
                                  revision, NULL};
-    int won = fleet_ctl(&fleet, 1, one, &first);
-    int lost = fleet_ctl(&fleet, 2, other, &second);
-    ck_assert_int_eq(won, 0);
-    ck_assert_int_ne(lost, 0);
+    int first_status = fleet_ctl(&fleet, 1, one, &first);
+    int second_status = fleet_ctl(&fleet, 2, other, &second);
+    ck_assert_int_eq(first_status, 0);
+    ck_assert_int_ne(second_status, 0);
     ck_assert_ptr_nonnull(strstr(second, "aborted"));
     free(first);
     free(second);
@@ -120,38 +121,38 @@
 
 START_TEST(a_replica_catches_up_after_hundreds_of_changes)
 {
-    fleet_end_node(&fleet, 3, SIGKILL);
+    fleet_kill_daemon(&fleet, 3, SIGKILL);
     static const char *const create[] = {"create", "tenant", "bank", "api_key=key-of-aaa", NULL};
-    fleet_must_ctl(&fleet, 1, create);
+    fleet_expect_ctl(&fleet, 1, create);
     json_int_t before = revision_at(1);
     for (int i = 0; i < CHANGES; i++) {
         char weight[32];
         snprintf(weight, sizeof(weight), "weight=%d", 1 + i % 9);
         const char *const update[] = {"update", "tenant", "bank", "api_key=key-of-aaa", weight, NULL};
-        fleet_must_ctl(&fleet, 1 + (uint32_t)(i % 2), update);
+        fleet_expect_ctl(&fleet, 1 + (uint32_t)(i % 2), update);
     }
-    fleet_start_node(&fleet, 3);
+    fleet_start_daemon(&fleet, 3);
     fleet_wait_ready(&fleet, 3);
     ck_assert_int_ge(revision_at(3), before + CHANGES);
-    free(fleet_must_answer(&fleet, 3, program, 1, "one"));
+    free(fleet_expect_answer(&fleet, 3, program, 1, "one"));
 }
 END_TEST
 
 static json_t *old_site_post(const char *path, const char *body, int *status)
 {
-    struct fleet_answer answer;
-    fleet_request(fleet.emulator_port, "POST", path, body, NULL, &answer);
-    *status = answer.status;
-    json_t *reply = json_loads(buffer_text(&answer.body), 0, NULL);
-    fleet_answer_close(&answer);
-    return reply;
+    struct fleet_response response;
+    fleet_request(fleet.emulator_port, "POST", path, body, NULL, &response);
+    *status = response.status;
+    json_t *content = json_loads(buffer_text(&response.body), 0, NULL);
+    fleet_response_close(&response);
+    return content;
 }
 
 START_TEST(a_program_is_handed_over_once)
 {
     int status = 0;
     char old_site[96];
-    struct fleet_answer answer;
+    struct fleet_response response;
     json_decref(old_site_post("/old-site/programs",
                               "{\"program_id\":\"old-1\",\"tenant\":\"anonymous\",\"policy\":\"default\","
                               "\"budget_tokens\":5000,\"spent_tokens\":100,\"next_call\":2,\"context_tokens\":50,"
@@ -162,51 +163,51 @@
     snprintf(old_site, sizeof(old_site), "http://127.0.0.1:%d/old-site", fleet.emulator_port);
     const char *const prepare[] = {"handover", "prepare", "old-1", NULL};
     const char *const run[] = {"handover", "run", "old-1", "--old-site", old_site, NULL};
-    fleet_must_ctl(&fleet, 1, prepare);
-    fleet_ask(&fleet, 2, "old-1", 2, "before the commit", false, NULL, &answer);
-    ck_assert_int_eq(answer.status, 421);
-    ck_assert_str_eq(answer.run_state, "not-run");
-    ck_assert_ptr_nonnull(strstr(buffer_text(&answer.body), "old-site"));
-    fleet_answer_close(&answer);
-    fleet_must_ctl(&fleet, 1, run);
-    fleet_end_node(&fleet, 1, SIGKILL);
-    fleet_must_ctl(&fleet, 2, run);
-    free(fleet_must_answer(&fleet, 3, "old-1", 2, "after the commit"));
-    fleet_request(fleet.nodes[1].caller_port, "GET", "/v1/programs/old-1/history", NULL, NULL, &answer);
-    json_t *history = json_loads(buffer_text(&answer.body), 0, NULL);
+    fleet_expect_ctl(&fleet, 1, prepare);
+    fleet_send_call(&fleet, 2, "old-1", 2, "before the commit", false, NULL, &response);
+    ck_assert_int_eq(response.status, 421);
+    ck_assert_str_eq(response.run_state, "not-run");
+    ck_assert_ptr_nonnull(strstr(buffer_text(&response.body), "old-site"));
+    fleet_response_close(&response);
+    fleet_expect_ctl(&fleet, 1, run);
+    fleet_kill_daemon(&fleet, 1, SIGKILL);
+    fleet_expect_ctl(&fleet, 2, run);
+    free(fleet_expect_answer(&fleet, 3, "old-1", 2, "after the commit"));
+    fleet_request(fleet.daemons[1].caller_port, "GET", "/v1/programs/old-1/history", NULL, NULL, &response);
+    json_t *history = json_loads(buffer_text(&response.body), 0, NULL);
     ck_assert_uint_eq(json_array_size(json_object_get(history, "messages")), 4);
     json_decref(history);
-    fleet_answer_close(&answer);
+    fleet_response_close(&response);
 }
 END_TEST
 
-/* Sends plain requests; true once none of a round reached a back end. */
+/* Sends service requests; true: none reached a back end. */
 static bool no_backend_is_used(void *context)
 {
-    json_int_t before = fleet_sum(&fleet, "backends", "requests");
+    json_int_t before = fleet_stat_sum(&fleet, "backends", "requests");
     (void)context;
     for (int i = 0; i < 10; i++) {
-        struct fleet_answer answer;
-        fleet_request(fleet.nodes[i % NODES].caller_port, "POST", "/services/calculator/x", "x", NULL, &answer);
-        fleet_answer_close(&answer);
+        struct fleet_response response;
+        fleet_request(fleet.daemons[i % NODES].caller_port, "POST", "/services/calculator/x", "x", NULL, &response);
+        fleet_response_close(&response);
     }
-    return fleet_sum(&fleet, "backends", "requests") == before;
+    return fleet_stat_sum(&fleet, "backends", "requests") == before;
 }
 
-START_TEST(a_machine_on_its_way_out_gets_no_new_work)
+START_TEST(a_leaving_machine_gets_no_new_work)
 {
     char body[96];
-    struct fleet_answer answer;
+    struct fleet_response response;
     ck_assert(!no_backend_is_used(NULL));
     snprintf(body, sizeof(body), "{\"address\":\"127.0.0.1:%d\",\"state\":\"leaving\"}", fleet.emulator_port);
-    fleet_request(fleet.emulator_port, "POST", "/control/machine", body, NULL, &answer);
-    ck_assert_int_eq(answer.status, 200);
-    fleet_answer_close(&answer);
+    fleet_request(fleet.emulator_port, "POST", "/control/machine", body, NULL, &response);
+    ck_assert_int_eq(response.status, 200);
+    fleet_response_close(&response);
     ck_assert(fleet_wait_for(no_backend_is_used, NULL));
-    fleet_ask(&fleet, 1, program, 1, "one", false, NULL, &answer);
-    ck_assert_int_eq(answer.status, 503);
-    ck_assert_str_eq(answer.run_state, "not-run");
-    fleet_answer_close(&answer);
+    fleet_send_call(&fleet, 1, program, 1, "one", false, NULL, &response);
+    ck_assert_int_eq(response.status, 503);
+    ck_assert_str_eq(response.run_state, "not-run");
+    fleet_response_close(&response);
 }
 END_TEST
 
@@ -214,14 +215,14 @@
 {
     uint32_t call = 1;
     for (uint32_t node = 1; node <= NODES; node++) {
-        free(fleet_must_answer(&fleet, node, program, call++, "before the stop"));
-        int status = fleet_end_node(&fleet, node, SIGTERM);
+        free(fleet_expect_answer(&fleet, node, program, call++, "before the stop"));
+        int status = fleet_kill_daemon(&fleet, node, SIGTERM);
         ck_assert(WIFEXITED(status) && WEXITSTATUS(status) == 0);
-        free(fleet_must_answer(&fleet, another(node), program, call++, "while it is down"));
-        fleet_start_node(&fleet, node);
+        free(fleet_expect_answer(&fleet, next_node(node), program, call++, "while it is down"));
+        fleet_start_daemon(&fleet, node);
         fleet_wait_ready(&fleet, node);
     }
-    fleet_must_verify(&fleet, 1, program, call - 1);
+    fleet_expect_history(&fleet, 1, program, call - 1);
 }
 END_TEST
 
@@ -236,17 +237,17 @@
 {
     static const char *const remove_lost[] = {"replica", "remove", "3", NULL};
     static const char *const add_spare[] = {"replica", "add", "4", NULL};
-    free(fleet_must_answer(&fleet, 1, program, 1, "one"));
-    fleet_end_node(&fleet, 3, SIGKILL);
-    fleet_lose_disk(&fleet, 3);
-    fleet_must_ctl(&fleet, 1, remove_lost);
-    fleet_must_ctl(&fleet, 2, remove_lost); /* repeated */
-    fleet_must_ctl(&fleet, 2, add_spare);
-    free(fleet_must_answer(&fleet, 4, program, 2, "two"));
-    /* The new replica makes the quorum with one of the old ones. */
-    fleet_end_node(&fleet, 1, SIGKILL);
-    free(fleet_must_answer(&fleet, 2, program, 3, "three"));
-    fleet_must_verify(&fleet, 4, program, 3);
+    free(fleet_expect_answer(&fleet, 1, program, 1, "one"));
+    fleet_kill_daemon(&fleet, 3, SIGKILL);
+    fleet_delete_data(&fleet, 3);
+    fleet_expect_ctl(&fleet, 1, remove_lost);
+    fleet_expect_ctl(&fleet, 2, remove_lost); /* idempotent */
+    fleet_expect_ctl(&fleet, 2, add_spare);
+    free(fleet_expect_answer(&fleet, 4, program, 2, "two"));
+    /* The new replica and one of the old ones form a quorum. */
+    fleet_kill_daemon(&fleet, 1, SIGKILL);
+    free(fleet_expect_answer(&fleet, 2, program, 3, "three"));
+    fleet_expect_history(&fleet, 4, program, 3);
 }
 END_TEST
 
@@ -257,12 +258,12 @@
     TCase *tests = tcase_create("three daemons");
     tcase_set_timeout(tests, 180);
     tcase_add_checked_fixture(tests, setup, teardown);
-    tcase_add_test(tests, a_lost_leader_costs_a_pause_only);
+    tcase_add_test(tests, calls_continue_after_leader_failure);
     tcase_add_test(tests, without_a_quorum_calls_are_refused_as_not_run);
-    tcase_add_test(tests, of_two_equal_changes_one_wins);
+    tcase_add_test(tests, one_of_two_conflicting_changes_succeeds);
     tcase_add_test(tests, a_replica_catches_up_after_hundreds_of_changes);
     tcase_add_test(tests, a_program_is_handed_over_once);
-    tcase_add_test(tests, a_machine_on_its_way_out_gets_no_new_work);
+    tcase_add_test(tests, a_leaving_machine_gets_no_new_work);
     tcase_add_test(tests, daemons_are_restarted_one_by_one_under_load);
     suite_add_tcase(suite, tests);
     TCase *spare = tcase_create("three daemons and a spare");
--- a/tests/integration/test_framing.c
+++ b/tests/integration/test_framing.c
@@ -1,4 +1,4 @@
-/* Framing and nesting of requests against a running daemon: one 400, a closed connection, the same process. */
+/* A daemon must answer a malformed request once, with 400, close the connection and not crash. */
 #include <signal.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -17,7 +17,7 @@
 static void start(void)
 {
     fleet_start(&fleet, 1);
-    process = fleet.nodes[0].process;
+    process = fleet.daemons[0].process;
 }
 
 static void stop(void)
@@ -28,17 +28,17 @@
 static void expect_same_process(void)
 {
     static const char alive[] = "GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
-    char *reply = fleet_raw(fleet.nodes[0].caller_port, alive, sizeof(alive) - 1, false);
-    ck_assert_msg(strstr(reply, "HTTP/1.1 200") == reply, "the daemon does not answer: %s", reply);
-    free(reply);
+    char *response = fleet_send_raw(fleet.daemons[0].caller_port, alive, sizeof(alive) - 1, false);
+    ck_assert_msg(strstr(response, "HTTP/1.1 200") == response, "GET /healthz did not get status 200: %s", response);
+    free(response);
     ck_assert_int_eq(waitpid(process, NULL, WNOHANG) > 0, 0);
     ck_assert_int_eq(kill(process, 0), 0);
 }
 
-static int count_answers(const char *reply)
+static int count_responses(const char *response)
 {
     int count = 0;
-    for (const char *at = strstr(reply, "HTTP/1.1 "); at != NULL; at = strstr(at + 1, "HTTP/1.1 ")) {
+    for (const char *at = strstr(response, "HTTP/1.1 "); at != NULL; at = strstr(at + 1, "HTTP/1.1 ")) {
         count++;
     }
     return count;
@@ -49,18 +49,18 @@
     struct buffer request = {0};
     buffer_printf(&request, "POST /v1/programs HTTP/1.1\r\n%s\r\n%s", item->lines, item->body);
     buffer_append_text(&request, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
-    char *reply = fleet_raw(port, (const char *)request.data, request.length, false);
-    if (strstr(reply, "HTTP/1.1 400") != reply || count_answers(reply) != 1) {
-        ck_abort_msg("%s: answered %s", item->name, reply);
+    char *response = fleet_send_raw(port, (const char *)request.data, request.length, false);
+    if (strstr(response, "HTTP/1.1 400") != response || count_responses(response) != 1) {
+        ck_abort_msg("%s: expected one response, 400; got: %s", item->name, response);
     }
-    free(reply);
+    free(response);
     buffer_close(&request);
 }
 
 START_TEST(ambiguous_framing_is_refused)
 {
-    expect_refused(fleet.nodes[0].caller_port, &framing_cases[_i]);
-    expect_refused(fleet.nodes[0].operator_port, &framing_cases[_i]);
+    expect_refused(fleet.daemons[0].caller_port, &framing_cases[_i]);
+    expect_refused(fleet.daemons[0].operator_port, &framing_cases[_i]);
     expect_same_process();
 }
 END_TEST
@@ -72,10 +72,10 @@
     memset(body, '[', NESTING);
     body[NESTING] = '\0';
     for (int i = 0; i < 2; i++) {
-        struct fleet_answer answer;
-        fleet_request(fleet.nodes[0].caller_port, "POST", paths[i], body, NULL, &answer);
-        ck_assert_int_eq(answer.status, 400);
-        fleet_answer_close(&answer);
+        struct fleet_response response;
+        fleet_request(fleet.daemons[0].caller_port, "POST", paths[i], body, NULL, &response);
+        ck_assert_int_eq(response.status, 400);
+        fleet_response_close(&response);
     }
     free(body);
     expect_same_process();
@@ -84,17 +84,18 @@
 
 START_TEST(an_unknown_model_is_not_found)
 {
-    struct fleet_answer answer;
-    fleet_request(fleet.nodes[0].caller_port, "POST", "/v1/chat/completions",
-                  "{\"model\":\"no-such-model\",\"messages\":[{\"role\":\"user\",\"content\":\"x\"}]}", NULL, &answer);
-    ck_assert_int_eq(answer.status, 404);
-    ck_assert_str_eq(answer.run_state, "not-run");
-    ck_assert_ptr_nonnull(strstr(buffer_text(&answer.body), "model_not_found"));
-    fleet_answer_close(&answer);
+    struct fleet_response response;
+    fleet_request(fleet.daemons[0].caller_port, "POST", "/v1/chat/completions",
+                  "{\"model\":\"no-such-model\",\"messages\":[{\"role\":\"user\",\"content\":\"x\"}]}", NULL,
+                  &response);
+    ck_assert_int_eq(response.status, 404);
+    ck_assert_str_eq(response.run_state, "not-run");
+    ck_assert_ptr_nonnull(strstr(buffer_text(&response.body), "model_not_found"));
+    fleet_response_close(&response);
 }
 END_TEST
 
-/* Valid requests with some bytes changed, cut or doubled, from a fixed seed. */
+/* Changes some bytes of a valid request and truncates it; fixed seed. */
 START_TEST(mutated_requests_are_survived)
 {
     static const char valid[] = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Type: application/json\r\n"
@@ -110,7 +111,7 @@
             bytes[(state >> 8) % length] = "\r\n:[]{}\" ,0+\t\x80z"[state >> 28];
         }
         length -= (state >> 16) % 40;
-        free(fleet_raw(fleet.nodes[0].caller_port, bytes, length, true));
+        free(fleet_send_raw(fleet.daemons[0].caller_port, bytes, length, true));
     }
     expect_same_process();
 }
--- a/tests/integration/test_inputs.c
+++ b/tests/integration/test_inputs.c
@@ -1,4 +1,4 @@
-/* Malformed and hostile input to a real daemon: typed errors, a true run state, no crash. */
+/* Malformed and hostile input to a daemon: guards against crashes, errors without a code and a wrong run state. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -17,7 +17,7 @@
 {
     static const char *const tenant[] = {"create", "tenant", "bank", "api_key=bank-key", NULL};
     fleet_start(&fleet, 1);
-    fleet_must_ctl(&fleet, 1, tenant);
+    fleet_expect_ctl(&fleet, 1, tenant);
 }
 
 static void setup(void)
@@ -30,7 +30,6 @@
     fleet_stop(&fleet);
 }
 
-/* One request that must be refused. */
 struct refusal {
     const char *name;
     const char *path;
@@ -40,7 +39,7 @@
 };
 
 static const struct refusal refusals[] = {
-    {"no JSON", "/v1/chat/completions", {NULL}, "{\"messages\":", 400},
+    {"invalid JSON", "/v1/chat/completions", {NULL}, "{\"messages\":", 400},
     {"not an object", "/v1/chat/completions", {NULL}, "[]", 400},
     {"empty body", "/v1/chat/completions", {NULL}, "", 400},
     {"no messages", "/v1/chat/completions", {NULL}, "{\"model\":\"agent-model\"}", 400},
@@ -81,87 +80,89 @@
 START_TEST(malformed_requests_are_refused_as_not_run)
 {
     const struct refusal *refusal = &refusals[_i];
-    struct fleet_answer answer;
-    fleet_request(fleet.nodes[0].caller_port, "POST", refusal->path, refusal->body, refusal->headers, &answer);
-    if (answer.status != refusal->status || strcmp(answer.run_state, "not-run") != 0) {
-        ck_abort_msg("%s: %d %s %s", refusal->name, answer.status, answer.run_state, buffer_text(&answer.body));
+    struct fleet_response response;
+    fleet_request(fleet.daemons[0].caller_port, "POST", refusal->path, refusal->body, refusal->headers, &response);
+    if (response.status != refusal->status || strcmp(response.run_state, "not-run") != 0) {
+        ck_abort_msg("%s: expected status %d and run state not-run; got status %d, run state %s, body %s",
+                     refusal->name, refusal->status, response.status, response.run_state, buffer_text(&response.body));
     }
-    json_t *body = json_loads(buffer_text(&answer.body), 0, NULL);
+    json_t *body = json_loads(buffer_text(&response.body), 0, NULL);
     const json_t *error = json_object_get(body, "error");
     ck_assert_ptr_nonnull(json_string_value(json_object_get(error, "message")));
     ck_assert_ptr_nonnull(json_string_value(json_object_get(error, "code")));
     json_decref(body);
-    fleet_answer_close(&answer);
+    fleet_response_close(&response);
 }
 END_TEST
 
-START_TEST(call_numbers_must_follow)
+START_TEST(call_numbers_must_be_consecutive)
 {
-    struct fleet_answer answer;
-    fleet_ask(&fleet, 1, program, 3, "too early", false, NULL, &answer);
-    ck_assert_int_eq(answer.status, 409);
-    ck_assert_str_eq(answer.run_state, "not-run");
-    fleet_answer_close(&answer);
-    free(fleet_must_answer(&fleet, 1, program, 1, "first"));
-    fleet_ask(&fleet, 1, program, 1, "another text", false, NULL, &answer);
-    ck_assert_int_eq(answer.status, 409);
-    fleet_answer_close(&answer);
-    fleet_must_verify(&fleet, 1, program, 1);
+    struct fleet_response response;
+    fleet_send_call(&fleet, 1, program, 3, "too early", false, NULL, &response);
+    ck_assert_int_eq(response.status, 409);
+    ck_assert_str_eq(response.run_state, "not-run");
+    fleet_response_close(&response);
+    free(fleet_expect_answer(&fleet, 1, program, 1, "first"));
+    fleet_send_call(&fleet, 1, program, 1, "another text", false, NULL, &response);
+    ck_assert_int_eq(response.status, 409);
+    fleet_response_close(&response);
+    fleet_expect_history(&fleet, 1, program, 1);
 }
 END_TEST
 
-/* Sends raw bytes; the daemon must answer something of the 4xx kind or close. */
-static void expect_survival(const char *bytes, size_t length, bool half_close)
+/* Sends raw bytes; the daemon must answer 4xx or close the connection, and serve the next call. */
+static void expect_still_serving(const char *bytes, size_t length, bool half_close)
 {
-    char *reply = fleet_raw(fleet.nodes[0].caller_port, bytes, length, half_close);
-    ck_assert(reply[0] == '\0' || strstr(reply, "HTTP/1.1 4") == reply);
-    free(reply);
-    free(fleet_must_answer(&fleet, 1, program, 1, "still serving"));
+    char *response = fleet_send_raw(fleet.daemons[0].caller_port, bytes, length, half_close);
+    ck_assert(response[0] == '\0' || strstr(response, "HTTP/1.1 4") == response);
+    free(response);
+    free(fleet_expect_answer(&fleet, 1, program, 1, "still serving"));
 }
 
-START_TEST(a_body_cut_off_runs_nothing)
+START_TEST(a_truncated_body_runs_nothing)
 {
-    json_int_t before = fleet_sum(&fleet, "engines", "requests");
+    json_int_t before = fleet_stat_sum(&fleet, "engines", "requests");
     static const char cut[] =
         "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 500\r\n\r\n{\"messages\":";
-    expect_survival(cut, sizeof(cut) - 1, true);
-    ck_assert_int_eq(fleet_sum(&fleet, "engines", "requests"), before + 1); /* the one that shows the survival */
+    expect_still_serving(cut, sizeof(cut) - 1, true);
+    ck_assert_int_eq(fleet_stat_sum(&fleet, "engines", "requests"),
+                     before + 1); /* the call of expect_still_serving() */
 }
 END_TEST
 
 START_TEST(oversized_bodies_and_headers_are_refused)
 {
     static const char head[] = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 99999999999\r\n\r\n{";
-    expect_survival(head, sizeof(head) - 1, true);
+    expect_still_serving(head, sizeof(head) - 1, true);
     struct buffer headers = {0};
     buffer_append_text(&headers, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Long: ");
     for (int i = 0; i < 100000; i++) {
         buffer_append(&headers, "a", 1);
     }
     buffer_append_text(&headers, "\r\n\r\n");
-    expect_survival((const char *)headers.data, headers.length, true);
+    expect_still_serving((const char *)headers.data, headers.length, true);
     buffer_close(&headers);
 }
 END_TEST
 
-/* Clients that send a part and wait hold a thread each, and nobody else up. */
-START_TEST(slow_clients_hold_nobody_up)
+/* Clients that have sent part of a request each occupy a thread. */
+START_TEST(slow_clients_do_not_block_others)
 {
     static const char part[] = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 200\r\n\r\n{\"mes";
-    int files[SLOW_CLIENTS];
+    int fds[SLOW_CLIENTS];
     for (int i = 0; i < SLOW_CLIENTS; i++) {
-        files[i] = fleet_connect(fleet.nodes[0].caller_port);
-        ck_assert_int_eq(send(files[i], part, sizeof(part) - 1, MSG_NOSIGNAL), sizeof(part) - 1);
+        fds[i] = fleet_connect(fleet.daemons[0].caller_port);
+        ck_assert_int_eq(send(fds[i], part, sizeof(part) - 1, MSG_NOSIGNAL), sizeof(part) - 1);
     }
-    free(fleet_must_answer(&fleet, 1, program, 1, "beside slow clients"));
+    free(fleet_expect_answer(&fleet, 1, program, 1, "beside slow clients"));
     for (int i = 0; i < SLOW_CLIENTS; i++) {
-        close(files[i]);
+        close(fds[i]);
     }
-    free(fleet_must_answer(&fleet, 1, program, 2, "after them"));
+    free(fleet_expect_answer(&fleet, 1, program, 2, "after them"));
 }
 END_TEST
 
-START_TEST(garbage_is_survived)
+START_TEST(random_bytes_do_not_crash_the_daemon)
 {
     char bytes[4096];
     uint32_t state = 12345;
@@ -170,28 +171,28 @@
             state = state * 1664525U + 1013904223U;
             bytes[i] = (char)(state >> 24);
         }
-        free(fleet_raw(fleet.nodes[0].caller_port, bytes, sizeof(bytes), true));
-        free(fleet_raw(fleet.nodes[0].operator_port, bytes, sizeof(bytes), true));
+        free(fleet_send_raw(fleet.daemons[0].caller_port, bytes, sizeof(bytes), true));
+        free(fleet_send_raw(fleet.daemons[0].operator_port, bytes, sizeof(bytes), true));
     }
-    free(fleet_must_answer(&fleet, 1, program, 1, "still serving"));
+    free(fleet_expect_answer(&fleet, 1, program, 1, "still serving"));
 }
 END_TEST
 
-START_TEST(malformed_operator_requests_are_typed_errors)
+START_TEST(malformed_operator_requests_return_error_codes)
 {
     static const char *const proto[] = {"Content-Type: application/proto", NULL};
-    struct fleet_answer answer;
-    fleet_request(fleet.nodes[0].operator_port, "POST", "/bankbank.v1.OperatorService/CreatePool", "\xff\xff\xff",
-                  proto, &answer);
-    ck_assert_int_eq(answer.status, 400);
-    json_t *body = json_loads(buffer_text(&answer.body), 0, NULL);
+    struct fleet_response response;
+    fleet_request(fleet.daemons[0].operator_port, "POST", "/bankbank.v1.OperatorService/CreatePool", "\xff\xff\xff",
+                  proto, &response);
+    ck_assert_int_eq(response.status, 400);
+    json_t *body = json_loads(buffer_text(&response.body), 0, NULL);
     ck_assert_str_eq(json_string_value(json_object_get(body, "code")), "invalid_argument");
     json_decref(body);
-    fleet_answer_close(&answer);
-    fleet_request(fleet.nodes[0].operator_port, "POST", "/bankbank.v1.OperatorService/NoSuchMethod", "", proto,
-                  &answer);
-    ck_assert_int_ge(answer.status, 400);
-    fleet_answer_close(&answer);
+    fleet_response_close(&response);
+    fleet_request(fleet.daemons[0].operator_port, "POST", "/bankbank.v1.OperatorService/NoSuchMethod", "", proto,
+                  &response);
+    ck_assert_int_ge(response.status, 400);
+    fleet_response_close(&response);
 }
 END_TEST
 
@@ -205,12 +206,12 @@
     tcase_add_checked_fixture(tests, setup, NULL);
     tcase_add_loop_test(tests, malformed_requests_are_refused_as_not_run, 0,
                         (int)(sizeof(refusals) / sizeof(refusals[0])));
-    tcase_add_test(tests, call_numbers_must_follow);
-    tcase_add_test(tests, a_body_cut_off_runs_nothing);
+    tcase_add_test(tests, call_numbers_must_be_consecutive);
+    tcase_add_test(tests, a_truncated_body_runs_nothing);
     tcase_add_test(tests, oversized_bodies_and_headers_are_refused);
-    tcase_add_test(tests, slow_clients_hold_nobody_up);
-    tcase_add_test(tests, garbage_is_survived);
-    tcase_add_test(tests, malformed_operator_requests_are_typed_errors);
+    tcase_add_test(tests, slow_clients_do_not_block_others);
+    tcase_add_test(tests, random_bytes_do_not_crash_the_daemon);
+    tcase_add_test(tests, malformed_operator_requests_return_error_codes);
     suite_add_tcase(suite, tests);
     return suite_run(suite);
 }
--- a/tests/integration/test_memory.c
+++ b/tests/integration/test_memory.c
@@ -1,4 +1,4 @@
-/* Daemons under a limit of memory, with conversations and requests of several times that limit. */
+/* Daemons with a memory limit that get conversations and requests of several times that size. */
 #include <check.h>
 #include <signal.h>
 #include <stdio.h>
@@ -13,17 +13,17 @@
 #include "site_internal.h"
 
 enum {
-    LIMIT_MB = 48,            /* what a replica may hold */
-    TURN_BYTES = 60 * 1024,   /* what a caller brings; the route takes 64 KiB */
-    TURNS = 2400,             /* three times the limit: 140 MB */
-    TURNS_BETWEEN_KILLS = 60, /* in the run with kills */
-    IN_A_ROW = 2000,          /* one after the other: each 100 of them are a gateway's share of requests */
-    CALLERS = 400             /* at once, with a body each: twice the share of a gateway's requests */
+    MEMORY_LIMIT_MB = 48,   /* of each daemon */
+    TURN_BYTES = 60 * 1024, /* of a request body; the route's limit is 64 KiB */
+    TURNS = 2400,           /* 140 MB in total, three times the limit */
+    TURNS_BETWEEN_KILLS = 60,
+    SEQUENTIAL_REQUESTS = 2000, /* about 100 in flight would fill a gateway's memory for requests */
+    CALLERS = 400               /* concurrent; their bodies alone are twice a gateway's memory for requests */
 };
 
 static char text[TURN_BYTES + 1];
 
-/* A text that is another one for each turn. */
+/* Returns a text that differs for each turn; valid until the next call. */
 static const char *turn_text(int number)
 {
     int length = snprintf(text, sizeof(text), "turn %d ", number);
@@ -32,11 +32,11 @@
     return text;
 }
 
-static int turn_run(int gateway, int number, const char *parent, const char *body)
+static int run_turn(int gateway, int number, const char *parent, const char *body)
 {
     char id[32];
     char lines[256];
-    struct site_answer answer;
+    struct site_response response;
     snprintf(id, sizeof(id), "turn-%d", number);
     int length = snprintf(lines, sizeof(lines),
                           "Bankbank-Program-Id: p-%d\r\nBankbank-Token-Budget: 100000\r\n"
@@ -45,53 +45,53 @@
     if (parent != NULL) {
         snprintf(lines + length, sizeof(lines) - (size_t)length, "Bankbank-Parent-Turn: %s\r\n", parent);
     }
-    site_call_as(gateway, id, "POST", "/chat/x", lines, body, &answer);
-    int status = answer.status;
-    site_answer_close(&answer);
+    site_call_as(gateway, id, "POST", "/chat/x", lines, body, &response);
+    int status = response.status;
+    site_response_close(&response);
     return status;
 }
 
-static void check_alive(int state)
+static void expect_running(int replica)
 {
     int status = 0;
-    ck_assert_msg(waitpid(site_process(state), &status, WNOHANG) == 0, "replica %d ended by itself: status %x", state,
-                  (unsigned)status);
+    ck_assert_msg(waitpid(site_process(replica), &status, WNOHANG) == 0,
+                  "replica %d exited unexpectedly: wait status %x", replica, (unsigned)status);
 }
 
-static void fill(int first, int count)
+static void run_large_turns(int first, int count)
 {
     for (int i = first; i < first + count; i++) {
-        int status = turn_run(0, i, NULL, turn_text(i));
-        for (int state = 0; state < SITE_STATES; state++) {
-            check_alive(state);
+        int status = run_turn(0, i, NULL, turn_text(i));
+        for (int replica = 0; replica < SITE_REPLICAS; replica++) {
+            expect_running(replica);
         }
         ck_assert_msg(status == 200, "turn %d: status %d", i, status);
     }
 }
 
-/* A program that goes on from a turn: its server gets what was said, then what is new. */
+/* Continuation of a turn: the server gets the text of the parent turn, followed by the new text. */
 struct continuation {
-    int from;
-    int number;
+    int parent;
+    int number; /* of the last attempt */
 };
 
-static bool turn_goes_on(void *context)
+static bool turn_is_continued(void *context)
 {
-    struct continuation *wish = context;
+    struct continuation *next_turn = context;
     char parent[32];
-    snprintf(parent, sizeof(parent), "turn-%d", wish->from);
-    wish->number++;
-    return turn_run(1, wish->number, parent, "next") == 200;
+    snprintf(parent, sizeof(parent), "turn-%d", next_turn->parent);
+    next_turn->number++;
+    return run_turn(1, next_turn->number, parent, "next") == 200;
 }
 
-static void check_stored(int number)
+static void expect_stored(int number)
 {
-    static int fresh = 1000000;
-    struct continuation wish = {.from = number, .number = fresh};
-    site_wait(turn_goes_on, &wish, "a stored turn is gone on from");
-    fresh = wish.number;
+    static int next_number = 1000000;
+    struct continuation next_turn = {.parent = number, .number = next_number};
+    site_wait(turn_is_continued, &next_turn, "a stored turn is continued");
+    next_number = next_turn.number;
     char *body = site_last_body();
-    ck_assert_msg(strncmp(body, turn_text(number), TURN_BYTES) == 0, "turn %d has another text", number);
+    ck_assert_msg(strncmp(body, turn_text(number), TURN_BYTES) == 0, "the stored text of turn %d differs", number);
     ck_assert_str_eq(body + strlen(body) - 4, "next");
     free(body);
 }
@@ -100,65 +100,65 @@
 {
     (void)context;
     double turns = site_metric(0, "turns_stored");
-    for (int state = 0; state < SITE_STATES; state++) {
-        check_alive(state);
-        if (site_metric(state, "raft_members") != SITE_STATES || site_metric(state, "turns_stored") != turns) {
+    for (int replica = 0; replica < SITE_REPLICAS; replica++) {
+        expect_running(replica);
+        if (site_metric(replica, "raft_members") != SITE_REPLICAS || site_metric(replica, "turns_stored") != turns) {
             return false;
         }
     }
     return turns > 0;
 }
 
-START_TEST(state_of_several_times_the_memory_is_taken)
+START_TEST(state_larger_than_memory_is_stored)
 {
-    fill(0, TURNS);
-    check_stored(0);
-    check_stored(TURNS - 1);
+    run_large_turns(0, TURNS);
+    expect_stored(0);
+    expect_stored(TURNS - 1);
 }
 END_TEST
 
-START_TEST(replicas_come_up_from_what_they_wrote)
+START_TEST(replicas_restart_from_disk)
 {
-    for (int state = 0; state < SITE_STATES; state++) {
-        site_end_daemon(state, SIGKILL);
+    for (int replica = 0; replica < SITE_REPLICAS; replica++) {
+        site_kill_daemon(replica, SIGKILL);
     }
-    for (int state = 0; state < SITE_STATES; state++) {
-        site_start_daemon(state);
+    for (int replica = 0; replica < SITE_REPLICAS; replica++) {
+        site_start_daemon(replica);
     }
-    site_wait(all_have_caught_up, NULL, "all replicas are back");
-    check_stored(1);
-    check_stored(TURNS / 2);
-    check_stored(TURNS - 2);
+    site_wait(all_have_caught_up, NULL, "all replicas have caught up");
+    expect_stored(1);
+    expect_stored(TURNS / 2);
+    expect_stored(TURNS - 2);
 }
 END_TEST
 
-START_TEST(a_replica_without_a_disk_catches_up)
+START_TEST(a_replica_without_data_catches_up)
 {
-    site_end_daemon(1, SIGKILL);
-    site_lose_disk(1);
+    site_kill_daemon(1, SIGKILL);
+    site_remove_data(1);
     site_start_daemon(1);
     site_wait(all_have_caught_up, NULL, "the empty replica has caught up");
-    check_stored(2);
+    expect_stored(2);
 }
 END_TEST
 
-START_TEST(kills_at_any_step_lose_nothing)
+START_TEST(repeated_kills_lose_nothing)
 {
     int first = TURNS;
     for (int round = 0; round < 12; round++) {
-        int state = round % SITE_STATES;
-        fill(first, TURNS_BETWEEN_KILLS);
+        int replica = round % SITE_REPLICAS;
+        run_large_turns(first, TURNS_BETWEEN_KILLS);
         first += TURNS_BETWEEN_KILLS;
-        site_end_daemon(state, SIGKILL);
-        site_start_daemon(state);
-        site_wait(all_have_caught_up, NULL, "the killed replica is back");
-        check_stored(first - 1);
+        site_kill_daemon(replica, SIGKILL);
+        site_start_daemon(replica);
+        site_wait(all_have_caught_up, NULL, "the killed replica has caught up");
+        expect_stored(first - 1);
     }
-    check_stored(TURNS);
+    expect_stored(TURNS);
 }
 END_TEST
 
-/* Sends a request and does not wait for its answer. */
+/* Sends a request without waiting for the response; returns the socket. */
 static int send_request(int number)
 {
     struct buffer request = {0};
@@ -179,43 +179,43 @@
     return fd;
 }
 
-static bool one_is_served(void *context)
+static bool request_is_served(void *context)
 {
-    struct site_answer answer;
+    struct site_response response;
     (void)context;
-    site_call(0, "POST", "/once/x", "", "x", &answer);
-    int status = answer.status;
-    site_answer_close(&answer);
+    site_call(0, "POST", "/once/x", "", "x", &response);
+    int status = response.status;
+    site_response_close(&response);
     return status == 200;
 }
 
-/* Refused at once, and truly not run: the servers ran no more than were served or may have run. */
-START_TEST(a_gateway_refuses_above_its_share)
+/* Requests refused with 503 must not have reached a server. */
+START_TEST(a_gateway_refuses_above_its_memory_limit)
 {
-    int files[CALLERS];
+    int fds[CALLERS];
     int counts[600] = {0};
     site_set_mode(-1, SITE_SLOW);
     for (int i = 0; i < CALLERS; i++) {
-        files[i] = send_request(i);
+        fds[i] = send_request(i);
     }
     for (int i = 0; i < CALLERS; i++) {
-        counts[site_read_status(files[i])]++;
+        counts[site_read_status(fds[i])]++;
     }
     ck_assert_int_gt(counts[503], 0);
-    ck_assert_int_le(site_runs(-1), CALLERS - counts[503]);
-    ck_assert(site_metric(SITE_STATES, "memory_refusals_total") > 0);
-    ck_assert(waitpid(site_process(SITE_STATES), NULL, WNOHANG) == 0);
+    ck_assert_int_le(site_run_count(-1), CALLERS - counts[503]);
+    ck_assert(site_metric(SITE_REPLICAS, "memory_refusals_total") > 0);
+    ck_assert(waitpid(site_process(SITE_REPLICAS), NULL, WNOHANG) == 0);
     site_set_mode(-1, SITE_NORMAL);
-    site_wait(one_is_served, NULL, "the gateway serves again");
+    site_wait(request_is_served, NULL, "the gateway serves again");
 }
 END_TEST
 
-/* One at a time, on one connection; returns how many were refused. */
-static int ask_in_a_row(int count)
+/* Sends requests one at a time on one connection; returns the number of responses other than 404. */
+static int send_sequentially(int count)
 {
     struct buffer request = {0};
     int refused = 0;
-    int file = site_connect(site_caller_ip(0), site_caller_port);
+    int fd = site_connect(site_caller_ip(0), site_caller_port);
     buffer_printf(&request,
                   "POST /nowhere/x HTTP/1.1\r\nHost: app.example\r\nBankbank-Request-Id: row\r\n"
                   "Content-Length: %d\r\n\r\n%s",
@@ -223,40 +223,36 @@
     for (int i = 0; i < count; i++) {
         struct http_reader reader;
         struct buffer body = {0};
-        site_send(file, buffer_text(&request), request.length);
-        ck_assert(site_read(file, &reader, HTTP_RESPONSE, &body));
+        site_send(fd, buffer_text(&request), request.length);
+        ck_assert(site_read(fd, &reader, HTTP_RESPONSE, &body));
         refused += reader.status == 404 ? 0 : 1;
         http_reader_close(&reader);
         buffer_close(&body);
     }
     buffer_close(&request);
-    close(file);
+    close(fd);
     return refused;
 }
 
-/* Moments after its start a gateway is not sure, and refuses what it knows no route for. */
-static bool no_route_is_denied(void *context)
+/* Until a started gateway has the current configuration, it does not respond with 404. */
+static bool unknown_route_is_404(void *context)
 {
     (void)context;
-    return ask_in_a_row(1) == 0;
+    return send_sequentially(1) == 0;
 }
 
-/*
- * Seen: one caller, who sends a turn when the one before is answered, was refused with "memory full". The gateway adds
- * up what requests hold each 50 ms, and until then counted all that had begun, those that had ended as well: held_bytes
- * 12,643,920 of 12,582,900 in `memory_full`, with one request under way, and 0 in `memory_regained` 21 ms later.
- */
-START_TEST(requests_that_have_ended_hold_nothing)
+/* Guards against counting the memory of ended requests, which made gateways refuse sequential requests. */
+START_TEST(ended_requests_use_no_memory)
 {
-    site_wait(no_route_is_denied, NULL, "the gateway is sure of its configuration");
-    ck_assert_int_eq(ask_in_a_row(IN_A_ROW), 0);
-    ck_assert(!site_log_has(SITE_STATES, "\"memory_full\""));
+    site_wait(unknown_route_is_404, NULL, "the gateway has the current configuration");
+    ck_assert_int_eq(send_sequentially(SEQUENTIAL_REQUESTS), 0);
+    ck_assert(!site_log_has(SITE_REPLICAS, "\"memory_full\""));
 }
 END_TEST
 
 static void start_limited(void)
 {
-    site_limit_memory(LIMIT_MB);
+    site_limit_memory(MEMORY_LIMIT_MB);
     site_start();
 }
 
@@ -267,16 +263,16 @@
     TCase *tests = tcase_create("replicas");
     tcase_set_timeout(tests, 180);
     tcase_add_unchecked_fixture(tests, start_limited, site_stop);
-    tcase_add_test(tests, state_of_several_times_the_memory_is_taken);
-    tcase_add_test(tests, replicas_come_up_from_what_they_wrote);
-    tcase_add_test(tests, a_replica_without_a_disk_catches_up);
-    tcase_add_test(tests, kills_at_any_step_lose_nothing);
+    tcase_add_test(tests, state_larger_than_memory_is_stored);
+    tcase_add_test(tests, replicas_restart_from_disk);
+    tcase_add_test(tests, a_replica_without_data_catches_up);
+    tcase_add_test(tests, repeated_kills_lose_nothing);
     suite_add_tcase(suite, tests);
     TCase *gateway = tcase_create("a gateway");
     tcase_set_timeout(gateway, 60);
     tcase_add_unchecked_fixture(gateway, start_limited, site_stop);
-    tcase_add_test(gateway, requests_that_have_ended_hold_nothing);
-    tcase_add_test(gateway, a_gateway_refuses_above_its_share);
+    tcase_add_test(gateway, ended_requests_use_no_memory);
+    tcase_add_test(gateway, a_gateway_refuses_above_its_memory_limit);
     suite_add_tcase(suite, gateway);
-    return suite_run_in_process(suite);
+    return suite_run_without_fork(suite);
 }
--- a/tests/integration/test_ports.c
+++ b/tests/integration/test_ports.c
@@ -1,12 +1,6 @@
 /*
- * The ports that tests give to their processes.
- *
- * Two suites side by side took the same numbers: each asked whether 127.0.0.1 had a
- * port free, while daemons listen at 127.0.1.1 and further addresses, and nothing
- * kept a number between the question and the daemon's start. The daemons of the
- * later suite ended at once (`listen_failed`, "address already in use"), and its
- * site "did not form". Now a process holds a block of numbers before it hands one
- * out, and asks at all addresses.
+ * Port allocation for tests. Guards against concurrent test programs that take the same port, including ports in use
+ * only on addresses other than 127.0.0.1.
  */
 #include <arpa/inet.h>
 #include <netinet/in.h>
@@ -18,90 +12,90 @@
 #include "../unit/suite.h"
 #include "ports.h"
 
-enum { DRAWS = 1000, KERNEL_FIRST = 32768, NEXT_PORTS = 40 };
+enum { PORTS_TAKEN = 1000, EPHEMERAL_FIRST = 32768, NEIGHBOR_PORTS = 40 };
 
-START_TEST(no_port_is_given_twice)
+START_TEST(no_port_is_taken_twice)
 {
-    static char given[1 << 16];
-    for (int i = 0; i < DRAWS; i++) {
-        int port = ports_take();
-        ck_assert_msg(given[port] == 0, "port %d was given twice in %d draws", port, i + 1);
-        given[port] = 1;
+    static char taken[1 << 16];
+    for (int i = 0; i < PORTS_TAKEN; i++) {
+        int port = ports_allocate();
+        ck_assert_msg(taken[port] == 0, "port %d was returned twice in %d calls", port, i + 1);
+        taken[port] = 1;
     }
 }
 END_TEST
 
-START_TEST(no_port_is_one_that_a_connection_may_take)
+START_TEST(no_port_is_ephemeral)
 {
-    for (int i = 0; i < DRAWS; i++) {
-        int port = ports_take();
-        ck_assert_msg(port < KERNEL_FIRST, "port %d belongs to the kernel's range", port);
+    for (int i = 0; i < PORTS_TAKEN; i++) {
+        int port = ports_allocate();
+        ck_assert_msg(port < EPHEMERAL_FIRST, "port %d is in the ephemeral range", port);
     }
 }
 END_TEST
 
-/* A child keeps what it has taken until its end of the second pipe is closed. */
-static pid_t take_in_a_child(int *ports_from, int *ends_with)
+/* Forks a child that takes ports, writes them to a pipe (`ports_fd`), and exits when `exit_fd` is closed. */
+static pid_t take_ports_in_child(int *ports_fd, int *exit_fd)
 {
-    int told[2];
-    int kept[2];
-    ck_assert_int_eq(pipe(told), 0);
-    ck_assert_int_eq(pipe(kept), 0);
+    int port_pipe[2];
+    int exit_pipe[2];
+    ck_assert_int_eq(pipe(port_pipe), 0);
+    ck_assert_int_eq(pipe(exit_pipe), 0);
     pid_t child = fork();
     ck_assert_int_ge(child, 0);
     if (child == 0) {
         char end;
-        close(kept[1]);
-        for (int i = 0; i < DRAWS; i++) {
-            int port = ports_take();
-            if (write(told[1], &port, sizeof(port)) != sizeof(port)) {
+        close(exit_pipe[1]);
+        for (int i = 0; i < PORTS_TAKEN; i++) {
+            int port = ports_allocate();
+            if (write(port_pipe[1], &port, sizeof(port)) != sizeof(port)) {
                 _exit(1);
             }
         }
-        _exit(read(kept[0], &end, 1) == 0 ? 0 : 1);
+        _exit(read(exit_pipe[0], &end, 1) == 0 ? 0 : 1);
     }
-    close(told[1]);
-    close(kept[0]);
-    *ports_from = told[0];
-    *ends_with = kept[1];
+    close(port_pipe[1]);
+    close(exit_pipe[0]);
+    *ports_fd = port_pipe[0];
+    *exit_fd = exit_pipe[1];
     return child;
 }
 
-START_TEST(no_port_is_given_to_two_processes)
+START_TEST(no_port_is_taken_by_two_processes)
 {
-    static char given[1 << 16];
-    int ports_from;
-    int ends_with;
+    static char taken[1 << 16];
+    int ports_fd;
+    int exit_fd;
     int status;
-    pid_t child = take_in_a_child(&ports_from, &ends_with);
-    for (int i = 0; i < DRAWS; i++) {
+    pid_t child = take_ports_in_child(&ports_fd, &exit_fd);
+    for (int i = 0; i < PORTS_TAKEN; i++) {
         int port = 0;
-        ck_assert_int_eq(read(ports_from, &port, sizeof(port)), sizeof(port));
-        given[port] = 1;
+        ck_assert_int_eq(read(ports_fd, &port, sizeof(port)), sizeof(port));
+        taken[port] = 1;
     }
-    for (int i = 0; i < DRAWS; i++) {
-        int port = ports_take();
-        ck_assert_msg(given[port] == 0, "port %d was given to another process too", port);
+    for (int i = 0; i < PORTS_TAKEN; i++) {
+        int port = ports_allocate();
+        ck_assert_msg(taken[port] == 0, "port %d is also taken by another process", port);
     }
-    close(ends_with);
+    close(exit_fd);
     ck_assert_int_eq(waitpid(child, &status, 0), child);
     ck_assert_int_eq(status, 0);
 }
 END_TEST
 
-START_TEST(no_port_is_one_that_another_address_listens_at)
+START_TEST(no_port_is_in_use_on_another_address)
 {
-    static char listens[1 << 16];
-    int first = ports_take();
-    for (int port = first + 1; port < first + NEXT_PORTS && port < PORTS_FIRST + PORTS_COUNT; port++) {
+    static char listening[1 << 16];
+    int first = ports_allocate();
+    for (int port = first + 1; port < first + NEIGHBOR_PORTS && port < PORTS_FIRST + PORTS_COUNT; port++) {
         struct sockaddr_in address = {.sin_family = AF_INET, .sin_port = htons((uint16_t)port)};
-        int file = socket(AF_INET, SOCK_STREAM, 0);
+        int fd = socket(AF_INET, SOCK_STREAM, 0);
         ck_assert_int_eq(inet_pton(AF_INET, "127.0.2.1", &address.sin_addr), 1);
-        listens[port] = bind(file, (struct sockaddr *)&address, sizeof(address)) == 0 && listen(file, 1) == 0 ? 1 : 0;
+        listening[port] = bind(fd, (struct sockaddr *)&address, sizeof(address)) == 0 && listen(fd, 1) == 0 ? 1 : 0;
     }
-    for (int i = 0; i < DRAWS; i++) {
-        int port = ports_take();
-        ck_assert_msg(listens[port] == 0, "port %d is taken at 127.0.2.1", port);
+    for (int i = 0; i < PORTS_TAKEN; i++) {
+        int port = ports_allocate();
+        ck_assert_msg(listening[port] == 0, "port %d is in use on 127.0.2.1", port);
     }
 }
 END_TEST
@@ -110,10 +104,10 @@
 {
     Suite *suite = suite_create("ports");
     TCase *tests = tcase_create("ports");
-    tcase_add_test(tests, no_port_is_given_twice);
-    tcase_add_test(tests, no_port_is_one_that_a_connection_may_take);
-    tcase_add_test(tests, no_port_is_given_to_two_processes);
-    tcase_add_test(tests, no_port_is_one_that_another_address_listens_at);
+    tcase_add_test(tests, no_port_is_taken_twice);
+    tcase_add_test(tests, no_port_is_ephemeral);
+    tcase_add_test(tests, no_port_is_taken_by_two_processes);
+    tcase_add_test(tests, no_port_is_in_use_on_another_address);
     suite_add_tcase(suite, tests);
     return suite_run(suite);
 }
--- a/tests/integration/test_relays.c
+++ b/tests/integration/test_relays.c
@@ -1,4 +1,5 @@
-/* Gateways that are referred to replicas outside the group: real daemons, with a bound that refers all of them. */
+/* Gateways that watch relays, which are replicas outside the group. The limit of watchers per member is 0,
+ * so that members refer all gateways to relays. */
 #include <signal.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -8,9 +9,9 @@
 #include "site.h"
 
 enum {
-    FURTHER = 12,
-    FIRST_FURTHER = SITE_STATES + SITE_GATEWAYS,
-    DAEMONS = FIRST_FURTHER + FURTHER,
+    EXTRA_REPLICAS = 12,
+    FIRST_EXTRA = SITE_REPLICAS + SITE_GATEWAYS,
+    DAEMONS = FIRST_EXTRA + EXTRA_REPLICAS,
     MEMBERS = MEMBERSHIP_VOTERS_LARGE + MEMBERSHIP_SPARES
 };
 
@@ -19,10 +20,10 @@
 
 static bool is_gateway(int daemon)
 {
-    return daemon >= SITE_STATES && daemon < FIRST_FURTHER;
+    return daemon >= SITE_REPLICAS && daemon < FIRST_EXTRA;
 }
 
-static bool group_is_whole(void *context)
+static bool group_is_complete(void *context)
 {
     int members = 0;
     (void)context;
@@ -34,57 +35,57 @@
 
 static bool gateways_watch_relays(void *context)
 {
-    bool watch = true;
+    bool watching = true;
     (void)context;
-    for (int daemon = SITE_STATES; daemon < FIRST_FURTHER; daemon++) {
-        watch = watch && site_metric(daemon, "watches_relay") == 1;
+    for (int daemon = SITE_REPLICAS; daemon < FIRST_EXTRA; daemon++) {
+        watching = watching && site_metric(daemon, "watches_relay") == 1;
     }
-    return watch;
+    return watching;
 }
 
-static bool is_in_force(void *context)
+static bool is_config_active(void *context)
 {
-    char told[64];
-    bool known = true;
+    char event[64];
+    bool active = true;
     (void)context;
-    snprintf(told, sizeof(told), "\"configuration_in_force\",\"version\":%d,", version);
-    for (int daemon = SITE_STATES; daemon < FIRST_FURTHER; daemon++) {
-        known = known && site_log_has(daemon, told);
+    snprintf(event, sizeof(event), "\"configuration_in_force\",\"version\":%d,", version);
+    for (int daemon = SITE_REPLICAS; daemon < FIRST_EXTRA; daemon++) {
+        active = active && site_log_has(daemon, event);
     }
-    return known;
+    return active;
 }
 
-/* A state replica that belongs to the group: others may stand still. */
-static int member(void)
+/* Waits for a running member of the group; returns its number as a state replica. */
+static int find_member(void)
 {
-    int state = 0;
-    while (stopped[site_state_daemon(state)] || site_metric(site_state_daemon(state), "replica_running") != 1) {
-        state = (state + 1) % (SITE_STATES + FURTHER);
+    int replica = 0;
+    while (stopped[site_replica_daemon(replica)] || site_metric(site_replica_daemon(replica), "replica_running") != 1) {
+        replica = (replica + 1) % (SITE_REPLICAS + EXTRA_REPLICAS);
     }
-    return state;
+    return replica;
 }
 
-static bool is_taken(void *context)
+static bool is_config_accepted(void *context)
 {
-    return site_order(member(), "POST", "/api/config/replace", context, NULL) == 200;
+    return site_operator_call(find_member(), "POST", "/api/config/replace", context, NULL) == 200;
 }
 
-static void expect_a_change_to_reach_all(void)
+static void expect_config_change_everywhere(void)
 {
     char *text = site_configuration(++version, "");
-    site_wait(is_taken, text, "a configuration is acknowledged");
-    site_wait(is_in_force, NULL, "it is in force at all gateways");
+    site_wait(is_config_accepted, text, "the configuration is accepted");
+    site_wait(is_config_active, NULL, "the configuration is active on all gateways");
     free(text);
 }
 
 static bool turn_is_served(void *context)
 {
-    struct site_answer answer;
+    struct site_response response;
     const char *lines = "Bankbank-Program-Id: p1\r\nBankbank-Token-Budget: 1000000\r\n"
                         "Bankbank-Token-Usage: 10,20\r\nBankbank-Deadline-Ms: 2500\r\n";
-    site_call(*(int *)context, "POST", "/chat/x", lines, "said;", &answer);
-    bool served = answer.status == 200 && answer.whole;
-    site_answer_close(&answer);
+    site_call(*(int *)context, "POST", "/chat/x", lines, "said;", &response);
+    bool served = response.status == 200 && response.complete;
+    site_response_close(&response);
     return served;
 }
 
@@ -102,23 +103,23 @@
 
 static void setup(void)
 {
-    site_refer_watchers(0);
-    site_start_many(FURTHER);
-    site_wait(group_is_whole, NULL, "the group is whole");
+    site_set_refer_above(0);
+    site_start_with_extra_replicas(EXTRA_REPLICAS);
+    site_wait(group_is_complete, NULL, "the group is complete");
 }
 
-START_TEST(what_is_in_force_reaches_gateways_through_relays)
+START_TEST(config_changes_reach_gateways_through_relays)
 {
     wait_for_relays();
-    expect_a_change_to_reach_all();
+    expect_config_change_everywhere();
     expect_service();
-    ck_assert_int_eq(site_order(member(), "POST", "/api/drain/z3/start", NULL, NULL), 200);
-    ck_assert_int_eq(site_order(member(), "POST", "/api/drain/z3/stop", NULL, NULL), 200);
+    ck_assert_int_eq(site_operator_call(find_member(), "POST", "/api/drain/z3/start", NULL, NULL), 200);
+    ck_assert_int_eq(site_operator_call(find_member(), "POST", "/api/drain/z3/stop", NULL, NULL), 200);
 }
 END_TEST
 
-/* Relays hang without a word, then end; each time what changes reaches the gateways all the same. */
-START_TEST(gateways_leave_relays_that_do_not_answer)
+/* Configuration changes reach the gateways when relays hang, and when they are killed. */
+START_TEST(gateways_leave_unresponsive_relays)
 {
     static const int signals[] = {SIGSTOP, SIGKILL};
     wait_for_relays();
@@ -129,18 +130,18 @@
                 stopped[daemon] = kill(site_process(daemon), signals[i]) == 0;
             }
         }
-        expect_a_change_to_reach_all();
+        expect_config_change_everywhere();
         expect_service();
     }
     for (int daemon = 0; daemon < DAEMONS; daemon++) {
         if (stopped[daemon]) {
-            site_end_daemon(daemon, SIGKILL);
+            site_kill_daemon(daemon, SIGKILL);
             site_start_daemon(daemon);
             stopped[daemon] = false;
         }
     }
     wait_for_relays();
-    expect_a_change_to_reach_all();
+    expect_config_change_everywhere();
 }
 END_TEST
 
@@ -151,8 +152,8 @@
     TCase *tests = tcase_create("one site");
     tcase_set_timeout(tests, 120);
     tcase_add_unchecked_fixture(tests, setup, site_stop);
-    tcase_add_test(tests, what_is_in_force_reaches_gateways_through_relays);
-    tcase_add_test(tests, gateways_leave_relays_that_do_not_answer);
+    tcase_add_test(tests, config_changes_reach_gateways_through_relays);
+    tcase_add_test(tests, gateways_leave_unresponsive_relays);
     suite_add_tcase(suite, tests);
-    return suite_run_in_process(suite);
+    return suite_run_without_fork(suite);
 }
