--- a/tests/integration/test_restart.c
+++ b/tests/integration/test_restart.c
@@ -1,4 +1,4 @@
-/* One real daemon that is killed and stopped: between turns, in mid-stream, with calls under way. */
+/* One daemon that is killed or stopped between calls and with calls in flight, and engine failures. */
 #include <pthread.h>
 #include <signal.h>
 #include <stdio.h>
@@ -25,184 +25,184 @@
 
 static void restart(void)
 {
-    fleet_end_node(&fleet, 1, SIGKILL);
-    fleet_start_node(&fleet, 1);
+    fleet_kill_daemon(&fleet, 1, SIGKILL);
+    fleet_start_daemon(&fleet, 1);
     fleet_wait_ready(&fleet, 1);
 }
 
-/* A call asked by a thread of its own. */
-struct asked {
+struct background_call {
     pthread_t thread;
     uint32_t number;
     const char *const *options;
-    struct fleet_answer answer;
+    struct fleet_response response;
 };
 
-static void *ask_main(void *argument)
+static void *send_call_main(void *argument)
 {
-    struct asked *asked = argument;
-    fleet_ask(&fleet, 1, program, asked->number, "in flight", true, asked->options, &asked->answer);
+    struct background_call *background_call = argument;
+    fleet_send_call(&fleet, 1, program, background_call->number, "in flight", true, background_call->options,
+                    &background_call->response);
     return NULL;
 }
 
-static bool a_sequence_runs(void *context)
+static bool an_engine_is_busy(void *context)
 {
     (void)context;
-    return fleet_sum(&fleet, "engines", "running") > 0;
+    return fleet_stat_sum(&fleet, "engines", "running") > 0;
 }
 
-/* Starts a slow call and waits until an engine runs it. */
-static void ask_in_background(struct asked *asked, uint32_t number, const char *const *options)
+/* Sends a call to slow engines, and waits until one of them runs it. */
+static void start_background_call(struct background_call *background_call, uint32_t number, const char *const *options)
 {
-    memset(asked, 0, sizeof(*asked));
-    asked->number = number;
-    asked->options = options;
+    memset(background_call, 0, sizeof(*background_call));
+    background_call->number = number;
+    background_call->options = options;
     fleet_set_fault(&fleet, "slow", 30, 0);
-    ck_assert_int_eq(pthread_create(&asked->thread, NULL, ask_main, asked), 0);
-    ck_assert(fleet_wait_for(a_sequence_runs, NULL));
+    ck_assert_int_eq(pthread_create(&background_call->thread, NULL, send_call_main, background_call), 0);
+    ck_assert(fleet_wait_for(an_engine_is_busy, NULL));
 }
 
 START_TEST(a_kill_between_turns_loses_nothing)
 {
-    free(fleet_must_answer(&fleet, 1, program, 1, "first"));
-    char *second = fleet_must_answer(&fleet, 1, program, 2, "second");
+    free(fleet_expect_answer(&fleet, 1, program, 1, "first"));
+    char *second = fleet_expect_answer(&fleet, 1, program, 2, "second");
     restart();
-    char *again = fleet_must_answer(&fleet, 1, program, 2, "second");
+    char *again = fleet_expect_answer(&fleet, 1, program, 2, "second");
     ck_assert_str_eq(second, again);
-    free(fleet_must_answer(&fleet, 1, program, 3, "third"));
-    fleet_must_verify(&fleet, 1, program, 3);
+    free(fleet_expect_answer(&fleet, 1, program, 3, "third"));
+    fleet_expect_history(&fleet, 1, program, 3);
     free(second);
     free(again);
 }
 END_TEST
 
-START_TEST(a_repeatable_call_cut_by_a_kill_is_answered_once)
+START_TEST(a_repeatable_call_interrupted_by_a_kill_is_answered_once)
 {
-    struct asked asked;
-    free(fleet_must_answer(&fleet, 1, program, 1, "first"));
-    ask_in_background(&asked, 2, NULL);
-    fleet_end_node(&fleet, 1, SIGKILL);
-    pthread_join(asked.thread, NULL);
-    ck_assert(!asked.answer.whole || asked.answer.status != 200 ||
-              strstr(buffer_text(&asked.answer.body), "[DONE]") == NULL);
-    fleet_answer_close(&asked.answer);
+    struct background_call background_call;
+    free(fleet_expect_answer(&fleet, 1, program, 1, "first"));
+    start_background_call(&background_call, 2, NULL);
+    fleet_kill_daemon(&fleet, 1, SIGKILL);
+    pthread_join(background_call.thread, NULL);
+    ck_assert(!background_call.response.complete || background_call.response.status != 200 ||
+              strstr(buffer_text(&background_call.response.body), "[DONE]") == NULL);
+    fleet_response_close(&background_call.response);
     fleet_set_fault(&fleet, "none", 0, 0);
-    fleet_start_node(&fleet, 1);
+    fleet_start_daemon(&fleet, 1);
     fleet_wait_ready(&fleet, 1);
-    free(fleet_must_answer(&fleet, 1, program, 2, "in flight"));
-    fleet_must_verify(&fleet, 1, program, 2);
+    free(fleet_expect_answer(&fleet, 1, program, 2, "in flight"));
+    fleet_expect_history(&fleet, 1, program, 2);
 }
 END_TEST
 
-START_TEST(a_call_that_may_not_repeat_ends_as_unknown)
+START_TEST(a_non_repeatable_call_ends_as_unknown)
 {
-    static const char *const once[] = {"X-Repeatable: false", NULL};
-    struct asked asked;
-    ask_in_background(&asked, 1, once);
-    fleet_end_node(&fleet, 1, SIGKILL);
-    pthread_join(asked.thread, NULL);
-    fleet_answer_close(&asked.answer);
+    static const char *const not_repeatable[] = {"X-Repeatable: false", NULL};
+    struct background_call background_call;
+    start_background_call(&background_call, 1, not_repeatable);
+    fleet_kill_daemon(&fleet, 1, SIGKILL);
+    pthread_join(background_call.thread, NULL);
+    fleet_response_close(&background_call.response);
     fleet_set_fault(&fleet, "none", 0, 0);
-    fleet_start_node(&fleet, 1);
+    fleet_start_daemon(&fleet, 1);
     fleet_wait_ready(&fleet, 1);
-    struct fleet_answer answer;
+    struct fleet_response response;
     for (int i = 0; i < 2; i++) {
-        fleet_ask(&fleet, 1, program, 1, "in flight", false, once, &answer);
-        ck_assert_int_ne(answer.status, 200);
-        ck_assert_str_eq(answer.run_state, "unknown");
-        fleet_answer_close(&answer);
+        fleet_send_call(&fleet, 1, program, 1, "in flight", false, not_repeatable, &response);
+        ck_assert_int_ne(response.status, 200);
+        ck_assert_str_eq(response.run_state, "unknown");
+        fleet_response_close(&response);
     }
-    free(fleet_must_answer(&fleet, 1, program, 2, "the next call goes on"));
+    free(fleet_expect_answer(&fleet, 1, program, 2, "the next call goes on"));
 }
 END_TEST
 
-START_TEST(a_planned_stop_finishes_what_is_in_flight)
+START_TEST(a_planned_stop_finishes_requests_in_flight)
 {
-    struct asked asked;
-    ask_in_background(&asked, 1, NULL);
-    int status = fleet_end_node(&fleet, 1, SIGTERM);
-    pthread_join(asked.thread, NULL);
+    struct background_call background_call;
+    start_background_call(&background_call, 1, NULL);
+    int status = fleet_kill_daemon(&fleet, 1, SIGTERM);
+    pthread_join(background_call.thread, NULL);
     ck_assert(WIFEXITED(status) && WEXITSTATUS(status) == 0);
-    ck_assert(asked.answer.whole);
-    ck_assert_ptr_nonnull(strstr(buffer_text(&asked.answer.body), "data: [DONE]"));
-    fleet_answer_close(&asked.answer);
+    ck_assert(background_call.response.complete);
+    ck_assert_ptr_nonnull(strstr(buffer_text(&background_call.response.body), "data: [DONE]"));
+    fleet_response_close(&background_call.response);
     fleet_set_fault(&fleet, "none", 0, 0);
-    fleet_start_node(&fleet, 1);
+    fleet_start_daemon(&fleet, 1);
     fleet_wait_ready(&fleet, 1);
-    fleet_must_verify(&fleet, 1, program, 1);
+    fleet_expect_history(&fleet, 1, program, 1);
 }
 END_TEST
 
-START_TEST(lost_answers_of_engines_are_made_good_or_told)
+START_TEST(lost_engine_responses_are_retried_or_reported)
 {
-    static const char *const once[] = {"X-Repeatable: false", NULL};
-    struct fleet_answer answer;
-    free(fleet_must_answer(&fleet, 1, program, 1, "first"));
+    static const char *const not_repeatable[] = {"X-Repeatable: false", NULL};
+    struct fleet_response response;
+    free(fleet_expect_answer(&fleet, 1, program, 1, "first"));
     fleet_set_fault_at(&fleet, 2, "cut", 2, 1);
-    free(fleet_must_answer(&fleet, 1, program, 2, "cut at the first engine"));
+    free(fleet_expect_answer(&fleet, 1, program, 2, "cut at the first engine"));
     fleet_set_fault(&fleet, "none", 0, 0);
     fleet_set_fault_at(&fleet, 2, "crossed", 0, 1);
-    free(fleet_must_answer(&fleet, 1, program, 3, "answered with another's text"));
+    free(fleet_expect_answer(&fleet, 1, program, 3, "answered with another's text"));
     fleet_set_fault_at(&fleet, 2, "refuse", 0, 1);
-    free(fleet_must_answer(&fleet, 1, program, 4, "refused by the first engine"));
-    fleet_must_verify(&fleet, 1, program, 4);
+    free(fleet_expect_answer(&fleet, 1, program, 4, "refused by the first engine"));
+    fleet_expect_history(&fleet, 1, program, 4);
     fleet_set_fault(&fleet, "cut", 2, 0);
-    fleet_ask(&fleet, 1, program, 5, "once", false, once, &answer);
-    ck_assert_int_eq(answer.status, 502);
-    ck_assert_str_eq(answer.run_state, "unknown");
-    fleet_answer_close(&answer);
+    fleet_send_call(&fleet, 1, program, 5, "once", false, not_repeatable, &response);
+    ck_assert_int_eq(response.status, 502);
+    ck_assert_str_eq(response.run_state, "unknown");
+    fleet_response_close(&response);
     fleet_set_fault(&fleet, "none", 0, 0);
-    fleet_must_verify(&fleet, 1, program, 4);
+    fleet_expect_history(&fleet, 1, program, 4);
 }
 END_TEST
 
-START_TEST(a_hanging_engine_is_given_up_at_the_policys_limit)
+START_TEST(a_hanging_engine_times_out_at_the_policy_limit)
 {
     static const char *const policy[] = {"update", "policy", "default", "pool=agents", "call_timeout_ms=300", NULL};
-    struct fleet_answer answer;
-    fleet_must_ctl(&fleet, 1, policy);
+    struct fleet_response response;
+    fleet_expect_ctl(&fleet, 1, policy);
     fleet_set_fault(&fleet, "hang", 0, 0);
-    fleet_ask(&fleet, 1, program, 1, "hangs", false, NULL, &answer);
-    ck_assert_int_eq(answer.status, 502);
-    ck_assert_str_eq(answer.run_state, "unknown");
-    fleet_answer_close(&answer);
+    fleet_send_call(&fleet, 1, program, 1, "hangs", false, NULL, &response);
+    ck_assert_int_eq(response.status, 502);
+    ck_assert_str_eq(response.run_state, "unknown");
+    fleet_response_close(&response);
     fleet_set_fault(&fleet, "none", 0, 0);
-    free(fleet_must_answer(&fleet, 1, program, 1, "hangs")); /* repeatable: asked again, answered */
-    free(fleet_must_answer(&fleet, 1, program, 2, "goes on"));
-    fleet_must_verify(&fleet, 1, program, 2);
+    free(fleet_expect_answer(&fleet, 1, program, 1, "hangs")); /* repeatable, so it runs again */
+    free(fleet_expect_answer(&fleet, 1, program, 2, "goes on"));
+    fleet_expect_history(&fleet, 1, program, 2);
 }
 END_TEST
 
-static bool no_memory_is_held(void *context)
+static bool no_engine_memory_is_held(void *context)
 {
     (void)context;
-    return fleet_sum(&fleet, "engines", "held_tokens") == 0;
+    return fleet_stat_sum(&fleet, "engines", "held_tokens") == 0;
 }
 
-START_TEST(a_refusal_after_a_lost_attempt_does_not_say_not_run)
+START_TEST(a_refusal_after_a_lost_attempt_is_not_reported_as_not_run)
 {
-    struct fleet_answer answer;
-    /* One engine cuts the answer, the others refuse: whatever the order, an attempt may have run. */
+    struct fleet_response response;
+    /* One engine aborts its response and the others refuse: in any order, an attempt may have run. */
     fleet_set_fault(&fleet, "refuse", 0, 0);
     fleet_set_fault_at(&fleet, 1, "cut", 1, 0);
-    fleet_ask(&fleet, 1, program, 1, "cut or refused", false, NULL, &answer);
-    ck_assert_int_ge(answer.status, 500);
-    ck_assert_str_eq(answer.run_state, "unknown");
-    fleet_answer_close(&answer);
+    fleet_send_call(&fleet, 1, program, 1, "cut or refused", false, NULL, &response);
+    ck_assert_int_ge(response.status, 500);
+    ck_assert_str_eq(response.run_state, "unknown");
+    fleet_response_close(&response);
 }
 END_TEST
 
 START_TEST(engine_memory_of_an_ended_program_is_released)
 {
-    free(fleet_must_answer(&fleet, 1, program, 1, "first"));
-    ck_assert(!no_memory_is_held(NULL));
+    free(fleet_expect_answer(&fleet, 1, program, 1, "first"));
+    ck_assert(!no_engine_memory_is_held(NULL));
     char path[256];
-    struct fleet_answer answer;
+    struct fleet_response response;
     snprintf(path, sizeof(path), "/v1/programs/%s", program);
-    fleet_request(fleet.nodes[0].caller_port, "DELETE", path, NULL, NULL, &answer);
-    ck_assert_int_eq(answer.status / 100, 2);
-    fleet_answer_close(&answer);
-    ck_assert(fleet_wait_for(no_memory_is_held, NULL));
+    fleet_request(fleet.daemons[0].caller_port, "DELETE", path, NULL, NULL, &response);
+    ck_assert_int_eq(response.status / 100, 2);
+    fleet_response_close(&response);
+    ck_assert(fleet_wait_for(no_engine_memory_is_held, NULL));
 }
 END_TEST
 
@@ -214,12 +214,12 @@
     tcase_set_timeout(tests, 120);
     tcase_add_checked_fixture(tests, setup, teardown);
     tcase_add_test(tests, a_kill_between_turns_loses_nothing);
-    tcase_add_test(tests, a_repeatable_call_cut_by_a_kill_is_answered_once);
-    tcase_add_test(tests, a_call_that_may_not_repeat_ends_as_unknown);
-    tcase_add_test(tests, a_planned_stop_finishes_what_is_in_flight);
-    tcase_add_test(tests, lost_answers_of_engines_are_made_good_or_told);
-    tcase_add_test(tests, a_hanging_engine_is_given_up_at_the_policys_limit);
-    tcase_add_test(tests, a_refusal_after_a_lost_attempt_does_not_say_not_run);
+    tcase_add_test(tests, a_repeatable_call_interrupted_by_a_kill_is_answered_once);
+    tcase_add_test(tests, a_non_repeatable_call_ends_as_unknown);
+    tcase_add_test(tests, a_planned_stop_finishes_requests_in_flight);
+    tcase_add_test(tests, lost_engine_responses_are_retried_or_reported);
+    tcase_add_test(tests, a_hanging_engine_times_out_at_the_policy_limit);
+    tcase_add_test(tests, a_refusal_after_a_lost_attempt_is_not_reported_as_not_run);
     tcase_add_test(tests, engine_memory_of_an_ended_program_is_released);
     suite_add_tcase(suite, tests);
     return suite_run(suite);
--- a/tests/integration/test_resume.c
+++ b/tests/integration/test_resume.c
@@ -1,183 +1,181 @@
-/* Streams that break off, on a route that may be resumed: real daemons before servers that cut their answers. */
+/* Streams on a resumable route whose servers abort their responses or become silent. */
 #include <pthread.h>
 #include <stdio.h>
 
 #include "../unit/suite.h"
 #include "site.h"
 
-enum { TOKENS_A_TURN = 15 };
+enum { TOKENS_PER_TURN = 15 };
 
-static int stalled; /* server that was made to fall silent */
+static int stream_server; /* that ran the stream first */
 
-static const char WHOLE[] = "id: 1\ndata: piece-1\n\nid: 2\ndata: piece-2\n\nid: 3\ndata: piece-3\n\n";
+static const char COMPLETE_STREAM[] = "id: 1\ndata: piece-1\n\nid: 2\ndata: piece-2\n\nid: 3\ndata: piece-3\n\n";
 
-/* The stand-in lives in this process, so that no test may run in one of its own. */
-static void setup(void)
+static void reset_servers(void)
 {
     site_set_mode(-1, SITE_NORMAL);
 }
 
-static int turn(const char *id, const char *program, int budget, struct site_answer *answer)
+/* Returns the status, negated if the response is incomplete. */
+static int run_turn(const char *id, const char *program, int budget, struct site_response *response)
 {
     char lines[256];
     snprintf(lines, sizeof(lines),
              "Bankbank-Deadline-Ms: 2500\r\nBankbank-Program-Id: %s\r\nBankbank-Token-Budget: %d\r\n"
              "Bankbank-Token-Usage: 10,%d\r\n",
-             program, budget, TOKENS_A_TURN);
-    site_call_as(0, id, "POST", "/open/chat/x", lines, "prompt", answer);
-    return answer->whole ? answer->status : -answer->status;
+             program, budget, TOKENS_PER_TURN);
+    site_call_as(0, id, "POST", "/open/chat/x", lines, "prompt", response);
+    return response->complete ? response->status : -response->status;
 }
 
-/* The caller gets each event once, in order, in one whole answer. */
-static void expect_whole(const char *id, const char *program)
+/* Expects one complete response with each event once and in order. */
+static void expect_complete(const char *id, const char *program)
 {
-    struct site_answer answer;
-    ck_assert_int_eq(turn(id, program, 1000, &answer), 200);
-    ck_assert_str_eq(buffer_text(&answer.body), WHOLE);
-    site_answer_close(&answer);
+    struct site_response response;
+    ck_assert_int_eq(run_turn(id, program, 1000, &response), 200);
+    ck_assert_str_eq(buffer_text(&response.body), COMPLETE_STREAM);
+    site_response_close(&response);
 }
 
-START_TEST(a_cut_stream_goes_on_at_its_server)
+START_TEST(an_interrupted_stream_resumes_at_its_server)
 {
     site_set_mode(-1, SITE_CUT_MIDWAY);
-    expect_whole("r1", "p1");
-    ck_assert_int_eq(site_runs(-1), 2);
-    ck_assert(site_runs(0) == 2 || site_runs(1) == 2);
+    expect_complete("r1", "p1");
+    ck_assert_int_eq(site_run_count(-1), 2);
+    ck_assert(site_run_count(0) == 2 || site_run_count(1) == 2);
 }
 END_TEST
 
-START_TEST(a_torn_event_is_dropped)
+START_TEST(a_partial_event_is_dropped)
 {
-    site_set_mode(-1, SITE_TORN);
-    expect_whole("r2", "p2");
-    ck_assert(site_runs(0) == 2 || site_runs(1) == 2);
+    site_set_mode(-1, SITE_CUT_IN_EVENT);
+    expect_complete("r2", "p2");
+    ck_assert(site_run_count(0) == 2 || site_run_count(1) == 2);
 }
 END_TEST
 
-START_TEST(a_server_that_always_breaks_off_ends_the_stream)
+START_TEST(a_server_that_always_disconnects_ends_the_stream)
 {
-    struct site_answer answer;
+    struct site_response response;
     site_set_mode(-1, SITE_CUT);
-    ck_assert_int_eq(turn("r3", "p3", 1000, &answer), 502);
-    site_answer_close(&answer);
-    ck_assert(site_runs(0) == 0 || site_runs(1) == 0);
+    ck_assert_int_eq(run_turn("r3", "p3", 1000, &response), 502);
+    site_response_close(&response);
+    ck_assert(site_run_count(0) == 0 || site_run_count(1) == 0);
 }
 END_TEST
 
-START_TEST(a_resumed_turn_settles_what_was_handed_out)
+START_TEST(a_resumed_turn_settles_the_tokens_sent)
 {
-    struct site_answer answer;
+    struct site_response response;
     site_set_mode(-1, SITE_CUT_MIDWAY);
-    ck_assert_int_eq(turn("r4", "p4", 2 * TOKENS_A_TURN, &answer), 200);
-    site_answer_close(&answer);
-    ck_assert_int_eq(turn("r5", "p4", 2 * TOKENS_A_TURN, &answer), 200);
-    site_answer_close(&answer);
-    int before = site_runs(-1);
-    ck_assert_int_eq(turn("r6", "p4", 2 * TOKENS_A_TURN, &answer), 402);
-    site_answer_close(&answer);
-    ck_assert_int_eq(site_runs(-1), before);
+    ck_assert_int_eq(run_turn("r4", "p4", 2 * TOKENS_PER_TURN, &response), 200);
+    site_response_close(&response);
+    ck_assert_int_eq(run_turn("r5", "p4", 2 * TOKENS_PER_TURN, &response), 200);
+    site_response_close(&response);
+    int before = site_run_count(-1);
+    ck_assert_int_eq(run_turn("r6", "p4", 2 * TOKENS_PER_TURN, &response), 402);
+    site_response_close(&response);
+    ck_assert_int_eq(site_run_count(-1), before);
 }
 END_TEST
 
-static bool a_server_stalls(void *context)
+static bool a_stream_runs(void *context)
 {
     (void)context;
-    return site_runs(-1) > 0;
+    return site_run_count(-1) > 0;
 }
 
-static void *go_dark(void *context)
+static void *stop_accepting(void *context)
 {
     (void)context;
-    site_wait(a_server_stalls, NULL, "a stream begins");
-    stalled = site_runs(0) > 0 ? 0 : 1;
-    site_set_dark(stalled, true);
+    site_wait(a_stream_runs, NULL, "a stream runs");
+    stream_server = site_run_count(0) > 0 ? 0 : 1;
+    site_set_not_accepting(stream_server, true);
     return NULL;
 }
 
 static void *lose_power(void *context)
 {
     (void)context;
-    site_wait(a_server_stalls, NULL, "a stream begins");
-    stalled = site_runs(0) > 0 ? 0 : 1;
-    site_set_dead(stalled, true);
+    site_wait(a_stream_runs, NULL, "a stream runs");
+    stream_server = site_run_count(0) > 0 ? 0 : 1;
+    site_set_powered_off(stream_server, true);
     return NULL;
 }
 
-/* A server that loses its power with a stream under way: neither it nor its kernel answers any more, and the stream
- * goes on at the other, as the route's only server. */
-START_TEST(a_stream_leaves_a_server_that_is_lost)
+/* Neither the server nor its kernel responds, so the stream resumes at the other server of the route. */
+START_TEST(a_stream_leaves_a_server_that_loses_power)
 {
     pthread_t thread;
     site_set_mode(-1, SITE_STALL);
     pthread_create(&thread, NULL, lose_power, NULL);
-    expect_whole("r7", "p7");
+    expect_complete("r7", "p7");
     pthread_join(thread, NULL);
-    ck_assert_int_eq(site_runs(stalled), 1);
-    ck_assert_int_eq(site_runs(1 - stalled), 1);
-    site_set_dead(stalled, false);
+    ck_assert_int_eq(site_run_count(stream_server), 1);
+    ck_assert_int_eq(site_run_count(1 - stream_server), 1);
+    site_set_powered_off(stream_server, false);
 }
 END_TEST
 
-/* One that is only slow keeps it. */
-START_TEST(a_stream_stays_at_a_server_that_is_slow)
+START_TEST(a_stream_stays_at_a_slow_server)
 {
     site_set_mode(-1, SITE_SLOW);
-    expect_whole("r8", "p8");
-    ck_assert_int_eq(site_runs(-1), 1);
+    expect_complete("r8", "p8");
+    ck_assert_int_eq(site_run_count(-1), 1);
 }
 END_TEST
 
-/* A conversation that is kept here has no route to be resumed on: it looks cut. */
-START_TEST(other_streams_still_look_cut)
+/* The turns of a stateful route are stored; their streams are never resumed. */
+START_TEST(a_stream_that_is_not_resumable_is_aborted)
 {
-    struct site_answer answer;
+    struct site_response response;
     site_set_mode(-1, SITE_CUT_MIDWAY);
-    site_call(0, "POST", "/chat/x", "Bankbank-Program-Id: p5\r\n", "x", &answer);
-    ck_assert(!answer.whole);
-    ck_assert_int_eq(site_runs(-1), 1);
-    site_answer_close(&answer);
+    site_call(0, "POST", "/chat/x", "Bankbank-Program-Id: p5\r\n", "x", &response);
+    ck_assert(!response.complete);
+    ck_assert_int_eq(site_run_count(-1), 1);
+    site_response_close(&response);
 }
 END_TEST
 
-/* Without numbers nobody can tell a server where it broke off: events could come twice. */
-START_TEST(a_stream_without_numbers_is_not_taken_up)
+/* Without event ids a resumed stream could repeat events. */
+START_TEST(a_stream_without_event_ids_is_not_resumed)
 {
-    struct site_answer answer;
-    site_set_mode(-1, SITE_UNNUMBERED);
-    ck_assert_int_eq(turn("r9", "p9", 1000, &answer), -200);
-    ck_assert_str_eq(buffer_text(&answer.body), "data: piece-1\n\ndata: piece-2\n\n");
-    ck_assert_int_eq(site_runs(-1), 1);
-    site_answer_close(&answer);
+    struct site_response response;
+    site_set_mode(-1, SITE_NO_EVENT_IDS);
+    ck_assert_int_eq(run_turn("r9", "p9", 1000, &response), -200);
+    ck_assert_str_eq(buffer_text(&response.body), "data: piece-1\n\ndata: piece-2\n\n");
+    ck_assert_int_eq(site_run_count(-1), 1);
+    site_response_close(&response);
 }
 END_TEST
 
-static bool the_server_is_lost(void *context)
+static bool server_is_unreachable(void *context)
 {
     (void)context;
-    return site_log_has(SITE_STATES, "\"server_lost\"");
+    return site_log_has(SITE_REPLICAS, "\"server_lost\"");
 }
 
-static void *pass_by_in_the_dark(void *context)
+static void *stop_accepting_until_unreachable(void *context)
 {
-    go_dark(context);
-    site_wait(the_server_is_lost, NULL, "the server is lost");
+    stop_accepting(context);
+    site_wait(server_is_unreachable, NULL, "the server is unreachable");
     return NULL;
 }
 
-/* It takes no connection, but its stream goes on: it is used again, and the log says so. */
-START_TEST(a_lost_server_that_speaks_is_regained)
+/* The server accepts no connections, but its stream continues, which makes it reachable again. */
+START_TEST(an_unreachable_server_that_sends_data_is_reachable_again)
 {
     pthread_t thread;
-    struct site_answer answer;
+    struct site_response response;
     site_set_mode(-1, SITE_PAUSED);
-    pthread_create(&thread, NULL, pass_by_in_the_dark, NULL);
-    site_call(0, "POST", "/chat/x", "Bankbank-Program-Id: p10\r\n", "x", &answer);
+    pthread_create(&thread, NULL, stop_accepting_until_unreachable, NULL);
+    site_call(0, "POST", "/chat/x", "Bankbank-Program-Id: p10\r\n", "x", &response);
     pthread_join(thread, NULL);
-    bool told = site_log_has(SITE_STATES, "\"server_regained\"");
-    site_set_dark(stalled, false);
-    ck_assert(answer.whole && answer.status == 200);
-    ck_assert(told);
-    site_answer_close(&answer);
+    bool logged = site_log_has(SITE_REPLICAS, "\"server_regained\"");
+    site_set_not_accepting(stream_server, false);
+    ck_assert(response.complete && response.status == 200);
+    ck_assert(logged);
+    site_response_close(&response);
 }
 END_TEST
 
@@ -187,17 +185,17 @@
     Suite *suite = suite_create("resume");
     TCase *tests = tcase_create("one site");
     tcase_set_timeout(tests, 60);
-    tcase_add_checked_fixture(tests, setup, NULL);
+    tcase_add_checked_fixture(tests, reset_servers, NULL);
     tcase_add_unchecked_fixture(tests, site_start, site_stop);
-    tcase_add_test(tests, a_lost_server_that_speaks_is_regained);
-    tcase_add_test(tests, a_cut_stream_goes_on_at_its_server);
-    tcase_add_test(tests, a_torn_event_is_dropped);
-    tcase_add_test(tests, a_server_that_always_breaks_off_ends_the_stream);
-    tcase_add_test(tests, a_resumed_turn_settles_what_was_handed_out);
-    tcase_add_test(tests, a_stream_leaves_a_server_that_is_lost);
-    tcase_add_test(tests, a_stream_stays_at_a_server_that_is_slow);
-    tcase_add_test(tests, other_streams_still_look_cut);
-    tcase_add_test(tests, a_stream_without_numbers_is_not_taken_up);
+    tcase_add_test(tests, an_unreachable_server_that_sends_data_is_reachable_again);
+    tcase_add_test(tests, an_interrupted_stream_resumes_at_its_server);
+    tcase_add_test(tests, a_partial_event_is_dropped);
+    tcase_add_test(tests, a_server_that_always_disconnects_ends_the_stream);
+    tcase_add_test(tests, a_resumed_turn_settles_the_tokens_sent);
+    tcase_add_test(tests, a_stream_leaves_a_server_that_loses_power);
+    tcase_add_test(tests, a_stream_stays_at_a_slow_server);
+    tcase_add_test(tests, a_stream_that_is_not_resumable_is_aborted);
+    tcase_add_test(tests, a_stream_without_event_ids_is_not_resumed);
     suite_add_tcase(suite, tests);
-    return suite_run_in_process(suite);
+    return suite_run_without_fork(suite); /* the simulated servers are threads of this process */
 }
--- a/tests/integration/test_signals.c
+++ b/tests/integration/test_signals.c
@@ -1,14 +1,5 @@
-/*
- * Signals that come while a state replica still reads its log.
- *
- * Seen: the soak's seeds 11 and 22 asked a replica that had just started to
- * read its settings again, or to stop, and its process was ended by the signal.
- *
- * How it came about: a replica read its snapshot and log before it handled any
- * signal, and what is not handled ends a process.
- *
- * What showed it: a signal as soon as the process has a file of its data open.
- */
+/* Signals to a state replica that is restoring its log. Guards against signal handlers that are installed only after
+ * the restore, so that SIGHUP or SIGTERM kills the process. */
 #include <check.h>
 #include <dirent.h>
 #include <signal.h>
@@ -22,13 +13,13 @@
 #include "site.h"
 
 enum {
-    TURNS = 60, /* so that reading the log takes milliseconds */
-    STARTS = 5, /* of the replica */
-    LOOK_US = 50,
-    LIMIT_US = 5000000
+    TURNS = 60, /* enough for a restore that takes milliseconds */
+    RESTARTS = 5,
+    POLL_US = 50,
+    TIMEOUT_US = 5000000
 };
 
-static void setup(void)
+static void start_site_with_long_log(void)
 {
     site_start();
     for (int i = 0; i < TURNS; i++) {
@@ -36,8 +27,8 @@
     }
 }
 
-/* Whether a replica has a file of its data open, and so has begun to read it. */
-static bool has_data_open(int daemon)
+/* An open log file shows that the replica has begun to restore it. */
+static bool has_log_file_open(int daemon)
 {
     char folder[64];
     char wanted[32];
@@ -58,18 +49,18 @@
     return open;
 }
 
-static void start_and_signal(int daemon, int signal_number)
+static void restart_and_signal(int daemon, int signal_number)
 {
-    site_end_daemon(daemon, SIGKILL);
+    site_kill_daemon(daemon, SIGKILL);
     site_start_daemon(daemon);
-    for (int waited_us = 0; !has_data_open(daemon); waited_us += LOOK_US) {
-        ck_assert_int_lt(waited_us, LIMIT_US);
-        clock_sleep_us(LOOK_US);
+    for (int waited_us = 0; !has_log_file_open(daemon); waited_us += POLL_US) {
+        ck_assert_int_lt(waited_us, TIMEOUT_US);
+        clock_sleep_us(POLL_US);
     }
     kill(site_process(daemon), signal_number);
 }
 
-static bool runs(void *context)
+static bool replica_runs(void *context)
 {
     return site_metric(*(int *)context, "replica_running") == 1;
 }
@@ -77,28 +68,28 @@
 START_TEST(a_reload_during_the_start_does_not_end_a_replica)
 {
     int daemon = 1;
-    for (int i = 0; i < STARTS; i++) {
+    for (int i = 0; i < RESTARTS; i++) {
         int status = 0;
-        start_and_signal(daemon, SIGHUP);
-        clock_sleep_us(LIMIT_US / 20);
-        ck_assert_msg(waitpid(site_process(daemon), &status, WNOHANG) == 0, "ended with %x by a reload at start %d",
-                      (unsigned)status, i);
-        site_wait(runs, &daemon, "the replica runs");
+        restart_and_signal(daemon, SIGHUP);
+        clock_sleep_us(TIMEOUT_US / 20);
+        ck_assert_msg(waitpid(site_process(daemon), &status, WNOHANG) == 0,
+                      "the replica ended after SIGHUP during restart %d: wait status %x", i, (unsigned)status);
+        site_wait(replica_runs, &daemon, "the replica runs");
     }
 }
 END_TEST
 
-START_TEST(a_stop_during_the_start_is_in_order)
+START_TEST(a_stop_during_the_start_exits_cleanly)
 {
     int daemon = 1;
-    for (int i = 0; i < STARTS; i++) {
+    for (int i = 0; i < RESTARTS; i++) {
         int status = 0;
-        start_and_signal(daemon, SIGTERM);
+        restart_and_signal(daemon, SIGTERM);
         waitpid(site_process(daemon), &status, 0);
         site_start_daemon(daemon);
-        site_wait(runs, &daemon, "the replica runs");
-        ck_assert_msg(WIFEXITED(status) && WEXITSTATUS(status) == 0, "ended with %x by a stop at start %d",
-                      (unsigned)status, i);
+        site_wait(replica_runs, &daemon, "the replica runs");
+        ck_assert_msg(WIFEXITED(status) && WEXITSTATUS(status) == 0,
+                      "no clean exit after SIGTERM during restart %d: wait status %x", i, (unsigned)status);
     }
 }
 END_TEST
@@ -109,9 +100,9 @@
     Suite *suite = suite_create("signals");
     TCase *tests = tcase_create("one site");
     tcase_set_timeout(tests, 120);
-    tcase_add_checked_fixture(tests, setup, site_stop);
+    tcase_add_checked_fixture(tests, start_site_with_long_log, site_stop);
     tcase_add_test(tests, a_reload_during_the_start_does_not_end_a_replica);
-    tcase_add_test(tests, a_stop_during_the_start_is_in_order);
+    tcase_add_test(tests, a_stop_during_the_start_exits_cleanly);
     suite_add_tcase(suite, tests);
-    return suite_run_in_process(suite);
+    return suite_run_without_fork(suite);
 }
--- a/tests/integration/test_slow_disk.c
+++ b/tests/integration/test_slow_disk.c
@@ -1,15 +1,9 @@
 /*
- * Replicas that wait for their disks, with real daemons.
+ * Replicas that wait for their disks. A replica does nothing else during a sync, so the tests suspend it with SIGSTOP,
+ * which has the same effect on the other replicas and the callers.
  *
- * What happened: on machines whose disk stood still for seconds, configurations
- * and turns were answered 503. A replica does nothing else while it waits for a sync
- * (`disk_slow` in its log), so that one which is stopped by a signal shows what the
- * others and its callers see, for as long as the test likes.
- *
- * Where all replicas wait, nothing can be kept, and the refusal is right. But an
- * order whose outcome was not learnt (`order`, "outcome not learnt") was answered
- * 503 as well, which promises that it will not be carried out: it stood in the
- * leader's log, and came into force when the disks went on.
+ * Guards against refusals while one of three replicas waits, and against 503 for an operator's call with an unknown
+ * outcome: 503 means "not executed", but the entry is in the leader's log and may still be committed.
  */
 #include <signal.h>
 #include <stdio.h>
@@ -19,44 +13,44 @@
 #include "../unit/suite.h"
 #include "site.h"
 
-enum { ORDERS = 20, UNKNOWN_OUTCOME = 504 };
+enum { OPERATIONS = 20, STATUS_UNKNOWN_OUTCOME = 504 };
 
 static int version = 1;
 
-static int put_at(int state, int number)
+static int put_configuration(int replica, int number)
 {
     char *configuration = site_configuration(number, "");
-    int status = site_order(state, "POST", "/api/config/replace", configuration, NULL);
+    int status = site_operator_call(replica, "POST", "/api/config/replace", configuration, NULL);
     free(configuration);
     return status;
 }
 
-typedef struct sent_t {
-    int state;
+typedef struct sent_configuration_t {
+    int replica;
     int number;
-} sent_t;
+} sent_configuration_t;
 
-static bool is_in_force(void *context)
+static bool is_applied(void *context)
 {
-    const sent_t *sent = context;
-    char told[32];
-    struct buffer reply = {0};
-    snprintf(told, sizeof(told), "\"version\":%d,", sent->number);
-    bool has = site_order(sent->state, "GET", "/api/config/get", NULL, &reply) == 200 &&
-               strstr(buffer_text(&reply), told) != NULL;
-    buffer_close(&reply);
-    return has;
+    const sent_configuration_t *sent = context;
+    char expected[32];
+    struct buffer response = {0};
+    snprintf(expected, sizeof(expected), "\"version\":%d,", sent->number);
+    bool applied = site_operator_call(sent->replica, "GET", "/api/config/get", NULL, &response) == 200 &&
+                   strstr(buffer_text(&response), expected) != NULL;
+    buffer_close(&response);
+    return applied;
 }
 
-static bool leads(int state)
+static bool leads(int replica)
 {
-    return site_metric(state, "raft_leading") == 1;
+    return site_metric(replica, "raft_leading") == 1;
 }
 
 static bool has_leader(void *context)
 {
     int *leader = context;
-    for (*leader = 0; *leader < SITE_STATES; (*leader)++) {
+    for (*leader = 0; *leader < SITE_REPLICAS; (*leader)++) {
         if (leads(*leader)) {
             return true;
         }
@@ -71,73 +65,74 @@
     return leader;
 }
 
-static int turn(int gateway)
+/* Returns the status, negated if the response is incomplete. */
+static int run_turn(int gateway)
 {
     static int number;
     char lines[128];
-    struct site_answer answer;
+    struct site_response response;
     snprintf(lines, sizeof(lines),
              "Bankbank-Program-Id: p%d\r\nBankbank-Token-Budget: 1000\r\nBankbank-Token-Usage: 10,15\r\n", ++number);
-    site_call(gateway, "POST", "/chat/x", lines, "in;", &answer);
-    int status = answer.whole ? answer.status : -answer.status;
-    site_answer_close(&answer);
+    site_call(gateway, "POST", "/chat/x", lines, "in;", &response);
+    int status = response.complete ? response.status : -response.status;
+    site_response_close(&response);
     return status;
 }
 
 static bool turn_is_served(void *context)
 {
-    return turn(*(int *)context) == 200;
+    return run_turn(*(int *)context) == 200;
 }
 
-static bool order_is_taken(void *context)
+static bool call_is_accepted(void *context)
 {
-    return put_at(*(int *)context, ++version) == 200;
+    return put_configuration(*(int *)context, ++version) == 200;
 }
 
-/* All that the two others and the gateways are asked, once they have a leader. */
-static void expect_service_without(int waiting)
+/* Expects the other two replicas and the gateways to serve all calls once there is a leader. */
+static void expect_service_while_waiting(int waiting)
 {
-    for (int state = 0; state < SITE_STATES; state++) {
-        if (state != waiting) {
-            site_wait(order_is_taken, &state, "an order is taken while one replica waits");
+    for (int replica = 0; replica < SITE_REPLICAS; replica++) {
+        if (replica != waiting) {
+            site_wait(call_is_accepted, &replica, "an operator's call succeeds while one replica waits");
         }
     }
     for (int gateway = 0; gateway < SITE_GATEWAYS; gateway++) {
         site_wait(turn_is_served, &gateway, "a turn is served while one replica waits");
     }
-    for (int i = 0; i < ORDERS; i++) {
-        int state = (waiting + 1 + i % (SITE_STATES - 1)) % SITE_STATES;
-        ck_assert_int_eq(put_at(state, ++version), 200);
-        ck_assert_int_eq(turn(i % SITE_GATEWAYS), 200);
+    for (int i = 0; i < OPERATIONS; i++) {
+        int replica = (waiting + 1 + i % (SITE_REPLICAS - 1)) % SITE_REPLICAS;
+        ck_assert_int_eq(put_configuration(replica, ++version), 200);
+        ck_assert_int_eq(run_turn(i % SITE_GATEWAYS), 200);
     }
 }
 
-START_TEST(one_replica_that_waits_for_its_disk_refuses_nothing_for_the_others)
+START_TEST(one_replica_waiting_for_its_disk_does_not_cause_refusals)
 {
-    for (int waiting = 0; waiting < SITE_STATES; waiting++) {
+    for (int waiting = 0; waiting < SITE_REPLICAS; waiting++) {
         kill(site_process(waiting), SIGSTOP);
-        expect_service_without(waiting);
+        expect_service_while_waiting(waiting);
         kill(site_process(waiting), SIGCONT);
-        site_wait(order_is_taken, &waiting, "it takes orders again");
+        site_wait(call_is_accepted, &waiting, "an operator's call succeeds at the resumed replica");
     }
 }
 END_TEST
 
-START_TEST(an_order_whose_outcome_is_not_learnt_is_not_refused)
+START_TEST(an_operator_call_with_unknown_outcome_gets_504)
 {
     int leader = find_leader();
-    int first = (leader + 1) % SITE_STATES;
-    int second = (leader + 2) % SITE_STATES;
+    int first = (leader + 1) % SITE_REPLICAS;
+    int second = (leader + 2) % SITE_REPLICAS;
     kill(site_process(first), SIGSTOP);
     kill(site_process(second), SIGSTOP);
     int number = ++version;
-    int status = put_at(leader, number);
-    kill(site_process(first), SIGCONT); /* it lacks the order: only the leader of before can be elected */
-    sent_t sent = {leader, number};
-    site_wait(is_in_force, &sent, "the order is in force, and was not sent again");
+    int status = put_configuration(leader, number);
+    kill(site_process(first), SIGCONT); /* it lacks the entry, so only the previous leader can be elected */
+    sent_configuration_t sent = {leader, number};
+    site_wait(is_applied, &sent, "the configuration is applied without a second call");
     kill(site_process(second), SIGCONT);
     ck_assert(site_log_has(leader, "\"outcome not learnt\""));
-    ck_assert_int_eq(status, UNKNOWN_OUTCOME);
+    ck_assert_int_eq(status, STATUS_UNKNOWN_OUTCOME);
 }
 END_TEST
 
@@ -148,8 +143,8 @@
     TCase *tests = tcase_create("one site");
     tcase_set_timeout(tests, 120);
     tcase_add_checked_fixture(tests, site_start, site_stop);
-    tcase_add_test(tests, one_replica_that_waits_for_its_disk_refuses_nothing_for_the_others);
-    tcase_add_test(tests, an_order_whose_outcome_is_not_learnt_is_not_refused);
+    tcase_add_test(tests, one_replica_waiting_for_its_disk_does_not_cause_refusals);
+    tcase_add_test(tests, an_operator_call_with_unknown_outcome_gets_504);
     suite_add_tcase(suite, tests);
-    return suite_run_in_process(suite);
+    return suite_run_without_fork(suite);
 }
--- a/tests/integration/test_unanswered.c
+++ b/tests/integration/test_unanswered.c
@@ -1,6 +1,5 @@
-/* Requests that a process has, and whose connection ends: a listener on real sockets whose process is late, stops, or
- * has an answer that its client takes slowly; and gateways with many kept connections that are stopped, told of new
- * settings and given configurations with other limits. */
+/* Guards against connections that are closed with an unanswered request: by a listener that is stalled, is stopped or
+ * has a slow client, and by gateways that are stopped or reloaded, or whose timeouts are changed. */
 #include <pthread.h>
 #include <signal.h>
 #include <stdio.h>
@@ -16,19 +15,19 @@
 #include "site_internal.h"
 
 enum {
-    IDLE_MS = 200,           /* a connection may rest */
-    HEADER_MS = 500,         /* a request may take to arrive */
-    LATE_US = 1000 * 1000,   /* the process does not run */
-    SLOW_MS = 2500,          /* a client takes nothing */
-    ANSWER_BYTES = 16 << 20, /* more than the sockets hold */
-    CLIENT_BUFFER = 1 << 16,
-    WAIT_MS = 30000 /* for what must come */
+    IDLE_TIMEOUT_MS = 200,
+    HEADER_TIMEOUT_MS = 500,
+    STALL_US = 1000 * 1000,
+    CLIENT_PAUSE_MS = 2500,    /* for which a client reads nothing */
+    RESPONSE_BYTES = 16 << 20, /* more than the socket buffers hold */
+    CLIENT_BUFFER_BYTES = 1 << 16,
+    RESPONSE_TIMEOUT_MS = 30000
 };
 
 static uv_loop_t loop;
 static struct http_listener listener;
 static int port;
-static size_t answer_bytes;
+static size_t response_bytes;
 static uint32_t handled;
 
 static const char REQUEST[] = "GET /x HTTP/1.1\r\nHost: a\r\n\r\n";
@@ -39,23 +38,25 @@
     (void)context;
     struct buffer body = {0};
     handled++;
-    memset(buffer_reserve(&body, answer_bytes), 'x', answer_bytes);
-    body.length = answer_bytes;
-    http_call_reply(call, 200, "", NULL, buffer_view(&body));
+    memset(buffer_reserve(&body, response_bytes), 'x', response_bytes);
+    body.length = response_bytes;
+    http_call_send_response(call, 200, "", NULL, buffer_view(&body));
     buffer_close(&body);
 }
 
-static void on_gone(void *context, struct http_call *call)
+static void on_disconnected(void *context, struct http_call *call)
 {
     (void)context;
     (void)call;
 }
 
-static void setup(void)
+static void start_listener(void)
 {
-    static const struct http_limits limits = {
-        .max_head_bytes = 8192, .max_body_bytes = 8192, .header_timeout_ms = HEADER_MS, .idle_timeout_ms = IDLE_MS};
-    const struct http_handler handler = {.request = on_request, .gone = on_gone};
+    static const struct http_limits limits = {.max_head_bytes = 8192,
+                                              .max_body_bytes = 8192,
+                                              .header_timeout_ms = HEADER_TIMEOUT_MS,
+                                              .idle_timeout_ms = IDLE_TIMEOUT_MS};
+    const struct http_handler handler = {.request = on_request, .disconnected = on_disconnected};
     char text[32];
     struct address address;
     close(site_listen("127.0.0.1", &port)); /* a free port */
@@ -63,47 +64,48 @@
     ck_assert(address_parse(text, &address));
     uv_loop_init(&loop);
     ck_assert_int_eq(http_listener_start(&listener, &loop, &address, &handler, &limits), 0);
-    answer_bytes = 5;
+    response_bytes = 5;
     handled = 0;
 }
 
-static void teardown(void)
+static void stop_listener(void)
 {
     http_listener_close(&listener);
     uv_run(&loop, UV_RUN_DEFAULT);
     ck_assert_int_eq(uv_loop_close(&loop), 0);
 }
 
-static int connect_client(int buffer)
+/* Connects with a receive buffer of the given size; 0: the default. */
+static int connect_client(int buffer_bytes)
 {
-    int file = site_connect("127.0.0.1", port);
-    ck_assert_int_ge(file, 0);
-    if (buffer > 0) {
-        setsockopt(file, SOL_SOCKET, SO_RCVBUF, &buffer, sizeof(buffer));
+    int fd = site_connect("127.0.0.1", port);
+    ck_assert_int_ge(fd, 0);
+    if (buffer_bytes > 0) {
+        setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &buffer_bytes, sizeof(buffer_bytes));
     }
     while (listener.counters.accepted == 0) {
         uv_run(&loop, UV_RUN_ONCE);
     }
-    return file;
+    return fd;
 }
 
-static void run_for(uint64_t span_ms)
+static void run_for(uint64_t duration_ms)
 {
-    uint64_t end_ms = clock_monotonic_ms() + span_ms;
+    uint64_t end_ms = clock_monotonic_ms() + duration_ms;
     while (clock_monotonic_ms() < end_ms) {
         uv_run(&loop, UV_RUN_ONCE);
     }
 }
 
-/* Reads until the connection ends or a whole answer is there, while the loop runs; returns the bytes that came. */
-static size_t read_answer(int file, size_t expected)
+/* Reads until the connection ends or `expected` bytes are received, while the loop runs; returns the bytes received. */
+static size_t read_response(int fd, size_t expected)
 {
     static char part[1 << 16];
-    uint64_t end_ms = clock_monotonic_ms() + WAIT_MS;
+    uint64_t end_ms = clock_monotonic_ms() + RESPONSE_TIMEOUT_MS;
     size_t got = 0;
     while (got < expected && clock_monotonic_ms() < end_ms) {
         uv_run(&loop, UV_RUN_NOWAIT);
-        ssize_t more = recv(file, part, sizeof(part), MSG_DONTWAIT);
+        ssize_t more = recv(fd, part, sizeof(part), MSG_DONTWAIT);
         if (more == 0) {
             break;
         }
@@ -112,116 +114,115 @@
     return got;
 }
 
-static void expect_answer(int file)
+static void expect_one_response(int fd)
 {
-    ck_assert_uint_ge(read_answer(file, answer_bytes + 1), answer_bytes + 1);
+    ck_assert_uint_ge(read_response(fd, response_bytes + 1), response_bytes + 1);
     ck_assert_uint_eq(handled, 1);
 }
 
-/* The request lies in the kernel since before the connection's rest was over. */
-START_TEST(a_request_that_came_in_time_is_read_by_a_late_process)
+/* The kernel has received the request before the idle timeout expires. */
+START_TEST(request_received_in_time_is_read_after_a_stall)
 {
-    int file = connect_client(0);
-    site_send(file, REQUEST, sizeof(REQUEST) - 1);
-    clock_sleep_us(LATE_US);
-    expect_answer(file);
-    close(file);
+    int fd = connect_client(0);
+    site_send(fd, REQUEST, sizeof(REQUEST) - 1);
+    clock_sleep_us(STALL_US);
+    expect_one_response(fd);
+    close(fd);
 }
 END_TEST
 
-/* The same with one whose first part was read before. */
-START_TEST(the_rest_of_a_request_is_read_by_a_late_process)
+/* The first part has been read; the kernel has received the rest before the header timeout expires. */
+START_TEST(rest_of_a_request_is_read_after_a_stall)
 {
     const size_t part = 10;
-    int file = connect_client(0);
-    site_send(file, REQUEST, part);
-    while (http_listener_active(&listener) == 0) {
+    int fd = connect_client(0);
+    site_send(fd, REQUEST, part);
+    while (http_listener_active_count(&listener) == 0) {
         uv_run(&loop, UV_RUN_ONCE);
     }
-    site_send(file, REQUEST + part, sizeof(REQUEST) - 1 - part);
-    clock_sleep_us(LATE_US);
-    expect_answer(file);
-    close(file);
+    site_send(fd, REQUEST + part, sizeof(REQUEST) - 1 - part);
+    clock_sleep_us(STALL_US);
+    expect_one_response(fd);
+    close(fd);
 }
 END_TEST
 
-/* A stop finds requests that it has not read yet: they are answered, and close their connections. */
-START_TEST(a_request_that_came_before_the_stop_is_answered)
+/* Requests that are unread when the listener stops are answered, and their connections closed. */
+START_TEST(request_received_before_the_stop_is_answered)
 {
-    int file = connect_client(0);
-    site_send(file, REQUEST, sizeof(REQUEST) - 1);
+    int fd = connect_client(0);
+    site_send(fd, REQUEST, sizeof(REQUEST) - 1);
     http_listener_drain(&listener);
     http_listener_stop_accepting(&listener);
-    ck_assert_uint_eq(http_listener_active(&listener), 1); /* nobody may end the process yet */
-    expect_answer(file);
-    close(file);
+    ck_assert_uint_eq(http_listener_active_count(&listener), 1); /* the process must not exit yet */
+    expect_one_response(fd);
+    close(fd);
 }
 END_TEST
 
-/* A connection that rests is closed. */
-START_TEST(a_connection_without_a_request_is_closed)
+START_TEST(idle_connection_is_closed)
 {
-    int file = connect_client(0);
-    ck_assert_uint_eq(read_answer(file, 1), 0);
+    int fd = connect_client(0);
+    ck_assert_uint_eq(read_response(fd, 1), 0);
     ck_assert_uint_eq(listener.counters.timeouts, 1);
-    close(file);
+    close(fd);
 }
 END_TEST
 
-/* It takes nothing for a while, and then the rest. */
-static void expect_whole_for_slow_client(const char *request, size_t length)
+/* The client pauses for longer than the idle and header timeouts, and then reads. */
+static void expect_complete_for_slow_client(const char *request, size_t length)
 {
-    answer_bytes = ANSWER_BYTES;
-    int file = connect_client(CLIENT_BUFFER);
-    site_send(file, request, length);
+    response_bytes = RESPONSE_BYTES;
+    int fd = connect_client(CLIENT_BUFFER_BYTES);
+    site_send(fd, request, length);
     while (handled == 0) {
         uv_run(&loop, UV_RUN_ONCE);
     }
-    run_for(SLOW_MS);
-    ck_assert_uint_eq(http_listener_active(&listener), 1);
-    ck_assert_uint_gt(read_answer(file, ANSWER_BYTES + 1), ANSWER_BYTES);
-    close(file);
+    run_for(CLIENT_PAUSE_MS);
+    ck_assert_uint_eq(http_listener_active_count(&listener), 1);
+    ck_assert_uint_gt(read_response(fd, RESPONSE_BYTES + 1), RESPONSE_BYTES);
+    close(fd);
 }
 
-START_TEST(an_answer_that_is_taken_slowly_ends_whole)
+START_TEST(slow_client_receives_the_whole_response)
 {
-    expect_whole_for_slow_client(REQUEST, sizeof(REQUEST) - 1);
+    expect_complete_for_slow_client(REQUEST, sizeof(REQUEST) - 1);
 }
 END_TEST
 
-START_TEST(a_last_answer_that_is_taken_slowly_ends_whole)
+START_TEST(slow_client_receives_the_whole_last_response)
 {
-    expect_whole_for_slow_client(REQUEST_CLOSE, sizeof(REQUEST_CLOSE) - 1);
+    expect_complete_for_slow_client(REQUEST_CLOSE, sizeof(REQUEST_CLOSE) - 1);
 }
 END_TEST
 
-/* ---- A whole site ------------------------------------------------------------------------------- */
+/* ---- A site ------------------------------------------------------------------------------------- */
 
 enum {
     CLIENTS = 24,
-    MOST_REQUESTS = 20000, /* of one client */
+    MAX_REQUESTS = 20000, /* per client */
     ROUNDS = 3,
     ROUND_US = 400 * 1000,
-    PAUSE_US = 2000, /* between requests: one to eight of these */
-    PAUSES = 8,
+    PAUSE_US = 2000, /* shortest pause of a client between requests */
+    PAUSES = 8,      /* the longest is this many times as long */
     NUMBER_BASE = 10
 };
 
-/* What became of a client's requests; a request's id is "u-CLIENT-NUMBER". */
+/* A client's requests have the ids "u-CLIENT-NUMBER". */
 struct client {
     pthread_t thread;
     int number;
     int sent;
-    int unanswered; /* the connection ended without a whole answer */
-    bool ran[MOST_REQUESTS];
-    bool missed[MOST_REQUESTS];
+    int unanswered_count;
+    bool ran[MAX_REQUESTS];
+    bool unanswered[MAX_REQUESTS]; /* the connection ended without a complete response */
 };
 
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
 static struct client clients[CLIENTS];
-static bool over;
+static bool finished;
 
-static void note_run(const site_run_t *run)
+static void record_run(const site_run_t *run)
 {
     char *at = NULL;
     long client = strncmp(run->id, "u-", 2) == 0 ? strtol(run->id + 2, &at, NUMBER_BASE) : CLIENTS;
@@ -232,16 +233,16 @@
     }
 }
 
-static bool is_over(void)
+static bool is_finished(void)
 {
     pthread_mutex_lock(&lock);
-    bool now = over;
+    bool now = finished;
     pthread_mutex_unlock(&lock);
     return now;
 }
 
-/* One request on a kept connection; false: the connection is to be closed. */
-static bool ask(struct client *client, int file)
+/* Sends one request on a persistent connection; returns false if the connection must be closed. */
+static bool send_request(struct client *client, int fd)
 {
     char text[256];
     struct http_reader reader;
@@ -251,41 +252,41 @@
                           "POST /once/x HTTP/1.1\r\nHost: app.example\r\nBankbank-Request-Id: u-%d-%d\r\n"
                           "Content-Length: 2\r\n\r\nhi",
                           client->number, number);
-    site_send(file, text, (size_t)length);
-    bool whole = site_read(file, &reader, HTTP_RESPONSE, &body);
-    bool kept = whole && reader.keep_alive;
-    client->missed[number] = !whole;
-    client->unanswered += whole ? 0 : 1;
+    site_send(fd, text, (size_t)length);
+    bool complete = site_read(fd, &reader, HTTP_RESPONSE, &body);
+    bool reusable = complete && reader.keep_alive;
+    client->unanswered[number] = !complete;
+    client->unanswered_count += complete ? 0 : 1;
     http_reader_close(&reader);
     buffer_close(&body);
-    return kept;
+    return reusable;
 }
 
 static void *run_client(void *argument)
 {
     struct client *client = argument;
-    while (!is_over() && client->sent < MOST_REQUESTS) {
-        int file = site_connect(site_caller_ip(client->number % SITE_GATEWAYS), site_caller_port);
-        if (file < 0) {
+    while (!is_finished() && client->sent < MAX_REQUESTS) {
+        int fd = site_connect(site_caller_ip(client->number % SITE_GATEWAYS), site_caller_port);
+        if (fd < 0) {
             clock_sleep_us(PAUSE_US);
             continue;
         }
-        while (!is_over() && client->sent < MOST_REQUESTS && ask(client, file)) {
-            clock_sleep_us((uint64_t)(client->number % PAUSES + 1) *
-                           PAUSE_US); /* some of them rest as the limits end */
+        while (!is_finished() && client->sent < MAX_REQUESTS && send_request(client, fd)) {
+            /* Pauses of different lengths, so that some connections are idle when the timeouts expire. */
+            clock_sleep_us((uint64_t)(client->number % PAUSES + 1) * PAUSE_US);
         }
-        close(file);
-        clock_sleep_us(PAUSE_US); /* a gateway that stops closes after each answer */
+        close(fd);
+        clock_sleep_us(PAUSE_US); /* a stopping gateway closes the connection after each response */
     }
     return NULL;
 }
 
-static bool takes_configuration(void *context)
+static bool replace_configuration(void *context)
 {
-    return site_order(0, "POST", "/api/config/replace", context, NULL) == 200;
+    return site_operator_call(0, "POST", "/api/config/replace", context, NULL) == 200;
 }
 
-static void give_limits(int version, int idle_ms, int header_ms)
+static void set_limits(int version, int idle_ms, int header_ms)
 {
     char *text = site_configuration(version, "");
     struct buffer changed = {0};
@@ -293,56 +294,56 @@
     ck_assert_ptr_nonnull(limits);
     buffer_append(&changed, text, (size_t)(limits - text));
     buffer_printf(&changed, "\"header-timeout-ms\":%d,\"idle-timeout-ms\":%d}}", header_ms, idle_ms);
-    site_wait(takes_configuration, (void *)(uintptr_t)buffer_text(&changed), "the limits are taken");
+    site_wait(replace_configuration, (void *)(uintptr_t)buffer_text(&changed), "the limits are accepted");
     buffer_close(&changed);
     free(text);
 }
 
-/* A stop, a reload and changes of the limits, one upon the other. */
-static void disturb(int round)
+/* A stop overlaps with reloads and changes of the timeouts. */
+static void disrupt(int round)
 {
     const int versions = 3;
-    int stopped = SITE_STATES + round % SITE_GATEWAYS;
-    kill(site_process(SITE_STATES), SIGHUP);
-    give_limits(2 + versions * round, 1, 1);
+    int stopped = SITE_REPLICAS + round % SITE_GATEWAYS;
+    kill(site_process(SITE_REPLICAS), SIGHUP);
+    set_limits(2 + versions * round, 1, 1);
     clock_sleep_us(ROUND_US);
     kill(site_process(stopped), SIGTERM);
-    give_limits(2 + versions * round + 1, 1000, 50);
+    set_limits(2 + versions * round + 1, 1000, 50);
     kill(site_process(stopped), SIGHUP);
-    ck_assert_int_eq(site_end_daemon(stopped, SIGTERM), 0);
+    ck_assert_int_eq(site_kill_daemon(stopped, SIGTERM), 0);
     site_start_daemon(stopped);
     clock_sleep_us(ROUND_US);
-    give_limits(2 + versions * round + 2, 5000, 1000);
+    set_limits(2 + versions * round + 2, 5000, 1000);
 }
 
-/* Whatever a server ran has its whole answer. */
-START_TEST(what_a_server_ran_is_answered_over_stops_and_changes)
+/* Every request that a server executed has its complete response. */
+START_TEST(requests_that_ran_are_answered_across_stops_and_reloads)
 {
     int ran_unanswered = 0;
     int sent = 0;
     int unanswered = 0;
-    site_echo(note_run);
+    site_echo_ids(record_run);
     for (int i = 0; i < CLIENTS; i++) {
         clients[i].number = i;
         pthread_create(&clients[i].thread, NULL, run_client, &clients[i]);
     }
     for (int round = 0; round < ROUNDS; round++) {
-        disturb(round);
+        disrupt(round);
     }
     pthread_mutex_lock(&lock);
-    over = true;
+    finished = true;
     pthread_mutex_unlock(&lock);
     for (int i = 0; i < CLIENTS; i++) {
         pthread_join(clients[i].thread, NULL);
         sent += clients[i].sent;
-        unanswered += clients[i].unanswered;
+        unanswered += clients[i].unanswered_count;
         for (int j = 0; j < clients[i].sent; j++) {
-            ran_unanswered += clients[i].ran[j] && clients[i].missed[j] ? 1 : 0;
+            ran_unanswered += clients[i].ran[j] && clients[i].unanswered[j] ? 1 : 0;
         }
     }
     ck_assert_int_gt(sent, CLIENTS);
-    ck_assert_msg(ran_unanswered == 0, "%d of %d requests that ended without an answer had run (%d sent)",
-                  ran_unanswered, unanswered, sent);
+    ck_assert_msg(ran_unanswered == 0, "%d of %d unanswered requests had run (%d sent)", ran_unanswered, unanswered,
+                  sent);
 }
 END_TEST
 
@@ -352,18 +353,18 @@
     Suite *suite = suite_create("unanswered");
     TCase *tests = tcase_create("one listener");
     tcase_set_timeout(tests, 60);
-    tcase_add_checked_fixture(tests, setup, teardown);
-    tcase_add_test(tests, a_request_that_came_in_time_is_read_by_a_late_process);
-    tcase_add_test(tests, the_rest_of_a_request_is_read_by_a_late_process);
-    tcase_add_test(tests, a_request_that_came_before_the_stop_is_answered);
-    tcase_add_test(tests, a_connection_without_a_request_is_closed);
-    tcase_add_test(tests, an_answer_that_is_taken_slowly_ends_whole);
-    tcase_add_test(tests, a_last_answer_that_is_taken_slowly_ends_whole);
+    tcase_add_checked_fixture(tests, start_listener, stop_listener);
+    tcase_add_test(tests, request_received_in_time_is_read_after_a_stall);
+    tcase_add_test(tests, rest_of_a_request_is_read_after_a_stall);
+    tcase_add_test(tests, request_received_before_the_stop_is_answered);
+    tcase_add_test(tests, idle_connection_is_closed);
+    tcase_add_test(tests, slow_client_receives_the_whole_response);
+    tcase_add_test(tests, slow_client_receives_the_whole_last_response);
     suite_add_tcase(suite, tests);
-    TCase *whole = tcase_create("one site");
-    tcase_set_timeout(whole, 120);
-    tcase_add_unchecked_fixture(whole, site_start, site_stop);
-    tcase_add_test(whole, what_a_server_ran_is_answered_over_stops_and_changes);
-    suite_add_tcase(suite, whole);
-    return suite_run_in_process(suite);
+    TCase *site = tcase_create("one site");
+    tcase_set_timeout(site, 120);
+    tcase_add_unchecked_fixture(site, site_start, site_stop);
+    tcase_add_test(site, requests_that_ran_are_answered_across_stops_and_reloads);
+    suite_add_tcase(suite, site);
+    return suite_run_without_fork(suite);
 }
--- a/tests/scripted/run_headers.c
+++ b/tests/scripted/run_headers.c
@@ -1,6 +1,6 @@
-/* Which of a caller's header lines a server gets:
- *   whole NAME:VALUE ...          the request is sent from its begin
- *   resumed NAME:VALUE ...        its stream goes on where it broke off */
+/* Prints which header lines of a request are forwarded to a server:
+ *   from-start NAME:VALUE ...     the request runs from its start
+ *   resumed NAME:VALUE ...        its interrupted stream is resumed */
 #include <string.h>
 
 #include "platform.h"
@@ -49,11 +49,11 @@
         .type = HTTP_REQUEST, .events = {NULL, on_part, on_body, on_part}, .max_head_bytes = MAX_HEAD};
     struct buffer request = {0};
     struct buffer lines = {0};
-    caller_headers_use_t use = script_is(command, 0, "whole") ? CALLER_HEADERS_WHOLE : CALLER_HEADERS_RESUMED;
+    caller_headers_use_t use = script_is(command, 0, "from-start") ? CALLER_HEADERS_FROM_START : CALLER_HEADERS_RESUMED;
     write_request(command, &request);
     http_reader_reset(&reader);
     http_reader_feed(&reader, request.data, request.length);
-    if (reader.fault != HTTP_FAULT_NONE || !reader.head_done) {
+    if (reader.error != HTTP_PARSE_ERROR_NONE || !reader.head_done) {
         script_print("malformed\n");
     } else {
         caller_headers_write(&platform_dialect, &reader, use, &lines);
--- a/tests/scripted/run_health.c
+++ b/tests/scripted/run_health.c
@@ -1,18 +1,18 @@
-/* Health of servers and the choice among them:
- *   servers COUNT SLOTS           names s1, s2, ... of one service and zone
- *   at MS                         the time moves on
- *   note SERVER OUTCOME COUNT     so many outcomes: served, failed, refused, unanswered
- *   others SERVER HUNDREDTHS      the sum of the shares that other gateways see
- *   share SERVER                  tells the share of failures, in hundredths
- *   told SERVER                   what the log tells of it now
- *   call COUNT                    so many calls, all under way at once; tells how many each server got
- *   call COUNT home SERVER        the same for programs that have their home there */
+/* Health of servers and its effect on the choice of a server:
+ *   servers COUNT SLOTS           new servers s1, s2, ... in one service and zone
+ *   at MS                         sets the time
+ *   note SERVER OUTCOME COUNT     records COUNT outcomes: served, failed, refused or unanswered
+ *   others SERVER PERCENT         sets the sum of the failure shares seen by other gateways
+ *   share SERVER                  prints the failure share in percent
+ *   state SERVER                  prints the logged state: failing or healthy
+ *   call COUNT                    places COUNT concurrent calls; prints the number at each server
+ *   call COUNT home SERVER        the same for programs whose home is SERVER */
 #include <stdio.h>
 #include <string.h>
 
 #include "base/buffer.h"
 #include "script.h"
-#include "server_list.h"
+#include "server_fixture.h"
 
 enum { MAX_CALLS = 256, NAME_MAX_BYTES = 32, HUNDRED = 100 };
 
@@ -34,10 +34,10 @@
     return find(name);
 }
 
-static void start(uint64_t count, uint64_t slots)
+static void reset_servers(uint64_t count, uint64_t slots)
 {
-    server_count = count < SERVER_LIST_MAX ? count : SERVER_LIST_MAX;
-    server_list_start(&servers, server_count, slots);
+    server_count = count < SERVER_FIXTURE_MAX ? count : SERVER_FIXTURE_MAX;
+    server_fixture_start(&servers, server_count, slots);
 }
 
 static health_outcome_t outcome_of(const script_command_t *command)
@@ -52,29 +52,29 @@
     return HEALTH_SERVED;
 }
 
-static void take_others(const struct server *server, uint64_t hundredths)
+static void set_other_failures(const struct server *server, uint64_t percent)
 {
-    ServerLoad load = {.server = server->hash, .failures = (uint32_t)(hundredths * HEALTH_ONE / HUNDRED)};
+    ServerLoad load = {.server = server->hash, .failures = (uint32_t)(percent * HEALTH_ONE / HUNDRED)};
     LoadTotals totals = {.loads_count = 1, .loads = &load};
-    server_table_take_loads(&servers, now_ms, &totals);
+    server_table_set_other_loads(&servers, now_ms, &totals);
 }
 
-static void call(uint64_t count, const char *home)
+static void place_calls(uint64_t count, const char *home)
 {
-    struct server *taken[MAX_CALLS];
-    struct server_wish wish = {.service = "service", .zone = "zone", .home = home};
+    struct server *chosen[MAX_CALLS];
+    struct server_criteria criteria = {.service = "service", .zone = "zone", .home = home};
     count = count < MAX_CALLS ? count : MAX_CALLS;
     for (uint64_t i = 0; i < count; i++) {
-        taken[i] = server_table_choose(&servers, now_ms, &wish);
-        server_begin(taken[i], now_ms);
+        chosen[i] = server_table_choose(&servers, now_ms, &criteria);
+        server_begin_request(chosen[i], now_ms);
     }
     for (uint64_t i = 1; i <= server_count; i++) {
         char name[NAME_MAX_BYTES];
         snprintf(name, sizeof(name), "s%llu", (unsigned long long)i);
-        script_print("%s %u\n", name, find(name)->calls);
+        script_print("%s %u\n", name, find(name)->in_flight);
     }
     for (uint64_t i = 0; i < count; i++) {
-        server_end(&servers, taken[i]);
+        server_end_request(&servers, chosen[i]);
     }
 }
 
@@ -82,25 +82,26 @@
 {
     struct server *server = server_of(command, 1);
     if (script_is(command, 0, "servers")) {
-        start(script_number(command, 1, 0), script_number(command, 2, 1));
+        reset_servers(script_number(command, 1, 0), script_number(command, 2, 1));
     } else if (script_is(command, 0, "at")) {
         now_ms = 1000000 + script_number(command, 1, 0);
     } else if (script_is(command, 0, "note") && server != NULL) {
         health_outcome_t outcome = outcome_of(command);
         for (uint64_t i = 0; i < script_number(command, 3, 1); i++) {
-            health_note(&server->health, now_ms, outcome);
+            health_record(&server->health, now_ms, outcome);
         }
     } else if (script_is(command, 0, "others") && server != NULL) {
-        take_others(server, script_number(command, 2, 0));
+        set_other_failures(server, script_number(command, 2, 0));
     } else if (script_is(command, 0, "share") && server != NULL) {
         script_print("%u\n", (unsigned)((uint64_t)health_share(&server->health, now_ms) * HUNDRED / HEALTH_ONE));
-    } else if (script_is(command, 0, "told") && server != NULL) {
-        server->told_failing = health_told_failing(server->told_failing, health_share(&server->health, now_ms));
-        script_print("%s\n", server->told_failing ? "failing" : "sound");
+    } else if (script_is(command, 0, "state") && server != NULL) {
+        server->logged_failing =
+            health_should_log_failing(server->logged_failing, health_share(&server->health, now_ms));
+        script_print("%s\n", server->logged_failing ? "failing" : "healthy");
     } else if (script_is(command, 0, "call")) {
         char home[NAME_MAX_BYTES];
         script_copy(command, 3, home, sizeof(home));
-        call(script_number(command, 1, 0), home[0] == '\0' ? NULL : home);
+        place_calls(script_number(command, 1, 0), home[0] == '\0' ? NULL : home);
     } else {
         script_print("unknown command\n");
     }
--- a/tests/scripted/run_work.c
+++ b/tests/scripted/run_link_counts.c
@@ -1,7 +1,7 @@
-/* Kinds of frames, as they are counted:
+/* Counting of frames by kind:
  *   frame KIND GROUP   counts an encoded Frame of that kind and group
- *   bytes HEX...       counts bytes as they are
- *   tell               tells the kinds counted so far */
+ *   bytes NUMBER...    counts raw bytes
+ *   print              prints the frames of each kind, and resets the counts */
 #include <string.h>
 
 #include "base/message.h"
@@ -21,11 +21,11 @@
     Frame frame = {0};
     frame.group = (uint32_t)script_number(command, 2, 0);
     script_copy(command, 1, name, sizeof(name));
-    for (int kind = 1; kind < LINK_KINDS; kind++) {
-        frame.which_payload = strcmp(link_kind_name(kind), name) == 0 ? (pb_size_t)kind : frame.which_payload;
+    for (int kind = 1; kind < LINK_FRAME_KINDS; kind++) {
+        frame.which_payload = strcmp(link_frame_kind_name(kind), name) == 0 ? (pb_size_t)kind : frame.which_payload;
     }
     if (message_encode(&encoded, Frame_fields, &frame)) {
-        link_counts_note(&counts, buffer_view(&encoded));
+        link_counts_add(&counts, buffer_view(&encoded));
     }
     buffer_close(&encoded);
 }
@@ -37,14 +37,14 @@
     for (int i = 1; i < command->count && length < MAX_BYTES; i++) {
         bytes[length++] = (uint8_t)script_number(command, i, 0);
     }
-    link_counts_note(&counts, view_of(bytes, length));
+    link_counts_add(&counts, view_of(bytes, length));
 }
 
-static void tell(void)
+static void print_counts(void)
 {
-    for (int kind = 0; kind < LINK_KINDS; kind++) {
+    for (int kind = 0; kind < LINK_FRAME_KINDS; kind++) {
         if (counts.kinds[kind].frames > 0) {
-            script_print("%s %llu\n", link_kind_name(kind), (unsigned long long)counts.kinds[kind].frames);
+            script_print("%s %llu\n", link_frame_kind_name(kind), (unsigned long long)counts.kinds[kind].frames);
         }
     }
     memset(&counts, 0, sizeof(counts));
@@ -56,8 +56,8 @@
         count_frame(command);
     } else if (script_is(command, 0, "bytes")) {
         count_bytes(command);
-    } else if (script_is(command, 0, "tell")) {
-        tell();
+    } else if (script_is(command, 0, "print")) {
+        print_counts();
     } else {
         script_print("unknown command\n");
     }
@@ -65,5 +65,5 @@
 
 int main(int argc, char **argv)
 {
-    return script_main(argc > 1 ? argv[1] : "tests/scripted/work.script", run);
+    return script_main(argc > 1 ? argv[1] : "tests/scripted/link_counts.script", run);
 }
--- a/tests/scripted/run_log_suffix.c
+++ b/tests/scripted/run_log_suffix.c
@@ -1,18 +1,22 @@
-/* Five replicas a to e on real files, and a network that can be cut. Ends are as by a kill: what was written stays.
- *   new COUNT           empties all and starts them; c stores a snapshot every COUNT entries, the others none
- *   away NAME...        these reach nobody from now on, and all others each other
- *   lead NAME           runs until NAME leads, and not a message longer
- *   hand NAME           the leader gives its place to NAME
- *   store COUNT         turns are stored at the leader; those that were acknowledged are noted
- *   pour COUNT          the same at once, and nobody waits
- *   kill NAME, start NAME
- *   install NAME        the leader sends NAME its stored snapshot, whatever NAME has
- *   installed NAME      runs until NAME has taken a snapshot, and not a message longer
- *   led NAME            runs until NAME has taken a snapshot or has the leader's last entry, and not a message longer
- *   run MS              runs
- *   log NAME            last entry of the log in memory, and its term
- *   sent NAME           what the others sent NAME since this was asked last
- *   missing             how many acknowledged turns the leader does not know */
+/* Tests that replicas whose logs differ in the last entries lose no acknowledged turn. Runs five replicas, a to e, on
+ * real files and a simulated network. A wait- command returns right after the message that fulfills it; later messages
+ * stay queued. Commands:
+ *   new COUNT            starts all with empty disks; only c writes snapshots, one every COUNT entries
+ *   isolate NAME...      cuts these replicas off, also from each other, and reconnects all others
+ *   wait-leader NAME     runs until NAME leads
+ *   transfer NAME        transfers the leadership to NAME
+ *   store COUNT          stores turns at the leader, one at a time, and records which are acknowledged
+ *   store-async COUNT    the same, without waiting between turns
+ *   kill NAME            stops a replica as SIGKILL does: its files keep all that was written
+ *   start NAME           starts a replica from its files
+ *   send-snapshot NAME   makes the leader send its stored snapshot to NAME, even if NAME does not need it
+ *   wait-snapshot NAME   runs until NAME has installed a snapshot
+ *   wait-caught-up NAME  runs until NAME has installed a snapshot or has the leader's last entry
+ *   run MS               runs
+ *   log NAME             prints index and term of the last entry of the log in memory
+ *   sent NAME            prints entries sent to NAME, and snapshots installed and appends rejected by it, since the
+ *                        last `sent` or its start
+ *   missing              prints how many acknowledged turns the leader does not have */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -28,33 +32,31 @@
 
 enum {
     STEP_MS = 20,
-    CALLER = 9,
-    HOSTS = 6, /* by id, from 1 */
-    TAKER = 3, /* stores snapshots */
-    LEAST_SNAPSHOT_ENTRIES = 1 << 20,
+    CLIENT = 9,
+    HOSTS = 6,         /* array size; ids start at 1 */
+    SNAPSHOT_NODE = 3, /* writes snapshots */
+    NO_SNAPSHOT_ENTRIES = 1 << 20,
     ELECTION_MS = 400,
     HEARTBEAT_MS = 80,
     WAIT_MS = 10000,
     SETTLE_MS = 300,
-    TURNS_MOST = 4096,
+    MAX_TURNS = 4096,
     RETENTION_MS = 3600000,
     PATH = 96
 };
 
-/* A replica and its files. */
 typedef struct host_t {
-    bool up;
-    bool away;
-    char folder[PATH];
+    bool running;
+    bool isolated;
+    char directory[PATH];
     struct replica replica;
     struct log_store log;
-    struct history_store texts;
-    uint32_t entries_sent;  /* to it */
-    uint32_t refusals;      /* of entries, by it */
-    uint32_t installs_told; /* since its start */
+    struct history_store history;
+    uint32_t entries_sent;      /* to this replica */
+    uint32_t rejections;        /* append messages that this replica rejected */
+    uint32_t installs_reported; /* by `sent` commands since its start */
 } host_t;
 
-/* A frame on its way. */
 typedef struct frame_t {
     uint32_t from;
     uint32_t to;
@@ -67,17 +69,17 @@
 static uint64_t now_ms;
 static uint32_t snapshot_entries;
 static uint32_t turns_sent;
-static bool acknowledged[TURNS_MOST];
+static bool acknowledged[MAX_TURNS];
 static char root[PATH];
 
-/* ---- Effects ---------------------------------------------------------------------- */
+/* ---- Callbacks -------------------------------------------------------------------- */
 
 static uint32_t host_id(const host_t *host)
 {
     return (uint32_t)(host - hosts);
 }
 
-static enum replica_sync on_sync(void *context)
+static enum replica_sync_result on_sync(void *context)
 {
     return log_store_sync(&((host_t *)context)->log) ? REPLICA_SYNC_DONE : REPLICA_SYNC_FAILED;
 }
@@ -90,7 +92,7 @@
 static bool on_snapshot_commit(void *context, uint32_t group, bool reset_log)
 {
     host_t *host = context;
-    return history_store_sync(&host->texts) && log_store_snapshot_commit(&host->log, group, reset_log);
+    return history_store_sync(&host->history) && log_store_snapshot_commit(&host->log, group, reset_log);
 }
 
 static void on_send(void *context, uint32_t to, struct view data)
@@ -99,11 +101,11 @@
     frame->from = host_id(context);
     frame->to = to;
     buffer_append(&frame->data, data.data, data.length);
-    frame_t **place = &frames;
-    while (*place != NULL) {
-        place = &(*place)->next;
+    frame_t **link = &frames;
+    while (*link != NULL) {
+        link = &(*link)->next;
     }
-    *place = frame;
+    *link = frame;
 }
 
 /* ---- Hosts ------------------------------------------------------------------------ */
@@ -122,50 +124,50 @@
         .snapshot_commit = on_snapshot_commit,
         .send = on_send,
     };
-    replica_disk_fill(&io, &host->log);
+    replica_disk_set_callbacks(&io, &host->log);
     struct replica_config config = {
         .node = host_id(host),
         .groups = 1,
         .members = {.count = 5, .nodes = {1, 2, 3, 4, 5}},
         .election_timeout_ms = ELECTION_MS,
         .heartbeat_ms = HEARTBEAT_MS,
-        .snapshot_entries = host_id(host) == TAKER ? snapshot_entries : LEAST_SNAPSHOT_ENTRIES,
-        .steady_stamps = true,
+        .snapshot_entries = host_id(host) == SNAPSHOT_NODE ? snapshot_entries : NO_SNAPSHOT_ENTRIES,
+        .monotonic_timestamps = true,
     };
-    char *texts_folder = file_path(host->folder, "texts");
-    if (!history_store_open(&host->texts, texts_folder)) {
-        script_print("%s\n", host->texts.error);
+    char *history_directory = file_path(host->directory, "texts");
+    if (!history_store_open(&host->history, history_directory)) {
+        script_print("%s\n", host->history.error);
     }
-    free(texts_folder);
-    struct history_io history = history_store_io(&host->texts);
+    free(history_directory);
+    struct history_io history = history_store_io(&host->history);
     replica_init(&host->replica, &config, &io, &history);
-    if (!replica_restore_log(&host->replica, &host->log, host->folder)) {
+    if (!replica_restore_log(&host->replica, &host->log, host->directory)) {
         script_print("%s\n", host->log.error);
     }
-    history_store_sweep(&host->texts);
-    host->up = true;
+    history_store_sweep(&host->history);
+    host->running = true;
     host->entries_sent = 0;
-    host->refusals = 0;
-    host->installs_told = 0;
+    host->rejections = 0;
+    host->installs_reported = 0;
     replica_start(&host->replica, now_ms);
 }
 
 static void end_host(host_t *host)
 {
-    if (host->up) {
+    if (host->running) {
         replica_close(&host->replica);
         log_store_close(&host->log);
-        history_store_close(&host->texts);
+        history_store_close(&host->history);
     }
-    host->up = false;
+    host->running = false;
 }
 
-static void remove_files(const char *folder)
+static void remove_directory(const char *directory)
 {
     char command[2 * PATH];
-    snprintf(command, sizeof(command), "rm -rf '%s'", folder);
+    snprintf(command, sizeof(command), "rm -rf '%s'", directory);
     if (system(command) != 0) {
-        script_print("cannot remove %s\n", folder);
+        script_print("cannot remove %s\n", directory);
     }
 }
 
@@ -181,12 +183,12 @@
     return (char)('a' - 1 + (int)host_id(host));
 }
 
-/* Of those that believe to lead, the one with the latest term. */
+/* The leader of the highest term, since an isolated former leader may not have stepped down. NULL: no leader. */
 static host_t *leader(void)
 {
     host_t *found = NULL;
     for (int i = 1; i < HOSTS; i++) {
-        bool leads = hosts[i].up && raft_is_leader(raft_of(&hosts[i]));
+        bool leads = hosts[i].running && raft_is_leader(raft_of(&hosts[i]));
         if (leads && (found == NULL || raft_of(&hosts[i])->term > raft_of(found)->term)) {
             found = &hosts[i];
         }
@@ -196,7 +198,7 @@
 
 /* ---- Frames ----------------------------------------------------------------------- */
 
-static void note_reply(const Reply *reply)
+static void record_reply(const Reply *reply)
 {
     EntryResult result = {0};
     ResultCode code = reply->code;
@@ -204,15 +206,15 @@
         code = result.code;
         message_free(EntryResult_fields, &result);
     }
-    if (code == RESULT_OK && reply->id < TURNS_MOST) {
+    if (code == RESULT_OK && reply->id < MAX_TURNS) {
         acknowledged[reply->id] = true;
     }
 }
 
-static void note_sent(uint32_t from, uint32_t to, const RaftMessage *message)
+static void count_sent(uint32_t from, uint32_t to, const RaftMessage *message)
 {
     hosts[to].entries_sent += message->type == RAFT_APPEND ? message->entries_count : 0;
-    hosts[from].refusals += message->type == RAFT_APPEND_REPLY && message->reject ? 1 : 0;
+    hosts[from].rejections += message->type == RAFT_APPEND_REPLY && message->reject ? 1 : 0;
 }
 
 static void deliver_first(void)
@@ -222,11 +224,12 @@
     frames = first->next;
     if (message_decode(buffer_view(&first->data), Frame_fields, &frame)) {
         host_t *to = first->to < HOSTS ? &hosts[first->to] : NULL;
-        if (first->to == CALLER && frame.which_payload == Frame_reply_tag) {
-            note_reply(&frame.payload.reply);
-        } else if (to != NULL && to->up && (first->from == first->to || (!to->away && !hosts[first->from].away))) {
+        if (first->to == CLIENT && frame.which_payload == Frame_reply_tag) {
+            record_reply(&frame.payload.reply);
+        } else if (to != NULL && to->running &&
+                   (first->from == first->to || (!to->isolated && !hosts[first->from].isolated))) {
             if (frame.which_payload == Frame_raft_tag) {
-                note_sent(first->from, first->to, &frame.payload.raft);
+                count_sent(first->from, first->to, &frame.payload.raft);
             }
             replica_receive(&to->replica, now_ms, first->from, &frame);
         }
@@ -239,7 +242,7 @@
 static void flush_hosts(void)
 {
     for (int i = 1; i < HOSTS; i++) {
-        if (hosts[i].up) {
+        if (hosts[i].running) {
             replica_flush(&hosts[i].replica, now_ms);
         }
     }
@@ -253,47 +256,48 @@
 
 static bool leads(const host_t *host)
 {
-    return host->up && raft_is_leader(&host->replica.groups[0].raft);
+    return host->running && raft_is_leader(&host->replica.groups[0].raft);
 }
 
 static bool has_installed(const host_t *host)
 {
-    return host->up && host->replica.counters.installs > host->installs_told;
+    return host->running && host->replica.counters.installs > host->installs_reported;
 }
 
-static bool is_led(const host_t *host)
+static bool is_caught_up(const host_t *host)
 {
-    host_t *from = leader();
-    bool current = from != NULL && host->up && host->replica.groups[0].raft.leader == host_id(from) &&
-                   raft_last_index(&host->replica.groups[0].raft) == raft_last_index(raft_of(from));
+    host_t *current_leader = leader();
+    bool current = current_leader != NULL && host->running &&
+                   host->replica.groups[0].raft.leader == host_id(current_leader) &&
+                   raft_last_index(&host->replica.groups[0].raft) == raft_last_index(raft_of(current_leader));
     return current || has_installed(host);
 }
 
-/* Runs until `over`, which is asked after each message, or for so long. Messages that were not delivered stay. */
-static bool run_until(uint64_t most_ms, bool (*over)(const host_t *host), const host_t *host)
+/* Runs until `done`, which is checked after each message, or for `max_ms`. Returns whether it is done. */
+static bool run_until(uint64_t max_ms, bool (*done)(const host_t *host), const host_t *host)
 {
-    for (uint64_t end_ms = now_ms + most_ms; now_ms < end_ms;) {
+    for (uint64_t end_ms = now_ms + max_ms; now_ms < end_ms;) {
         now_ms += STEP_MS;
         for (int i = 1; i < HOSTS; i++) {
-            if (hosts[i].up) {
+            if (hosts[i].running) {
                 replica_tick(&hosts[i].replica, now_ms);
             }
         }
         flush_hosts();
-        while (frames != NULL && !over(host)) {
+        while (frames != NULL && !done(host)) {
             deliver_first();
             flush_hosts();
         }
-        if (over(host)) {
+        if (done(host)) {
             return true;
         }
     }
     return false;
 }
 
-static void run(uint64_t most_ms)
+static void run(uint64_t duration_ms)
 {
-    run_until(most_ms, never, NULL);
+    run_until(duration_ms, never, NULL);
 }
 
 /* ---- Turns ------------------------------------------------------------------------ */
@@ -322,7 +326,7 @@
     frame.payload.request.kind = REQUEST_PROPOSE;
     frame.payload.request.id = turns_sent++;
     frame.payload.request.body = buffer_view(&body);
-    replica_receive(&to->replica, now_ms, CALLER, &frame);
+    replica_receive(&to->replica, now_ms, CLIENT, &frame);
     buffer_close(&body);
 }
 
@@ -340,10 +344,10 @@
     host_t *to = leader();
     uint32_t first = turns_sent;
     if (to == NULL) {
-        script_print("nobody leads\n");
+        script_print("no leader\n");
         return;
     }
-    for (uint64_t i = 0; i < count && turns_sent < TURNS_MOST; i++) {
+    for (uint64_t i = 0; i < count && turns_sent < MAX_TURNS; i++) {
         send_turn(to);
         if (wait) {
             run(STEP_MS);
@@ -354,18 +358,18 @@
     script_print("%u of %llu acknowledged\n", count_acknowledged(first), (unsigned long long)count);
 }
 
-static void tell_missing(void)
+static void print_missing(void)
 {
-    host_t *at = leader();
+    host_t *from = leader();
     uint32_t missing = 0;
-    for (uint32_t i = 0; at != NULL && i < turns_sent; i++) {
+    for (uint32_t i = 0; from != NULL && i < turns_sent; i++) {
         char id[16];
         turn_id(i, id);
-        const struct turn_store *turns = &at->replica.groups[0].machine.site.turns;
+        const struct turn_store *turns = &from->replica.groups[0].machine.site.turns;
         missing += acknowledged[i] && turn_store_find(turns, id) == NULL ? 1 : 0;
     }
-    if (at == NULL) {
-        script_print("nobody leads\n");
+    if (from == NULL) {
+        script_print("no leader\n");
     } else {
         script_print("%u of %u acknowledged turns are missing\n", missing, count_acknowledged(0));
     }
@@ -381,30 +385,30 @@
         buffer_close(&first->data);
         free(first);
     }
-    snapshot_entries = (uint32_t)script_number(command, 1, LEAST_SNAPSHOT_ENTRIES);
+    snapshot_entries = (uint32_t)script_number(command, 1, NO_SNAPSHOT_ENTRIES);
     turns_sent = 0;
     now_ms = 1000;
     memset(acknowledged, 0, sizeof(acknowledged));
     for (int i = 1; i < HOSTS; i++) {
         end_host(&hosts[i]);
-        remove_files(hosts[i].folder);
-        hosts[i].away = false;
+        remove_directory(hosts[i].directory);
+        hosts[i].isolated = false;
         start_host(&hosts[i]);
     }
     run(WAIT_MS);
 }
 
-static void set_away(const script_command_t *command)
+static void set_isolated(const script_command_t *command)
 {
     for (int i = 1; i < HOSTS; i++) {
-        hosts[i].away = false;
+        hosts[i].isolated = false;
     }
     for (int i = 1; i < command->count; i++) {
-        host_named(command, i)->away = true;
+        host_named(command, i)->isolated = true;
     }
 }
 
-static void hand_over(host_t *to)
+static void transfer_leadership(host_t *to)
 {
     host_t *from = leader();
     if (from != NULL && from != to) {
@@ -419,28 +423,28 @@
     host_t *from = leader();
     struct raft_progress *progress = from == NULL ? NULL : raft_progress_of(raft_of(from), host_id(to));
     if (progress == NULL) {
-        script_print("nobody leads\n");
+        script_print("no leader\n");
         return;
     }
     raft_begin_snapshot(raft_of(from), now_ms, progress);
     flush_hosts();
 }
 
-static void tell_log(host_t *host)
+static void print_log(host_t *host)
 {
     struct raft *raft = raft_of(host);
     uint64_t last = raft_last_index(raft);
     script_print("%llu of term %llu\n", (unsigned long long)last, (unsigned long long)raft_term_at(raft, last));
 }
 
-static void tell_sent(host_t *host)
+static void print_sent(host_t *host)
 {
-    uint64_t installs = host->replica.counters.installs - host->installs_told;
-    script_print("%u entries, %llu snapshots, refused %u times\n", host->entries_sent, (unsigned long long)installs,
-                 host->refusals);
-    host->installs_told += (uint32_t)installs;
+    uint64_t installs = host->replica.counters.installs - host->installs_reported;
+    script_print("%u entries, %llu snapshots, %u rejected\n", host->entries_sent, (unsigned long long)installs,
+                 host->rejections);
+    host->installs_reported += (uint32_t)installs;
     host->entries_sent = 0;
-    host->refusals = 0;
+    host->rejections = 0;
 }
 
 static void run_command(const script_command_t *command)
@@ -448,34 +452,34 @@
     host_t *host = host_named(command, 1);
     if (script_is(command, 0, "new")) {
         restart_all(command);
-    } else if (script_is(command, 0, "away")) {
-        set_away(command);
-    } else if (script_is(command, 0, "lead")) {
+    } else if (script_is(command, 0, "isolate")) {
+        set_isolated(command);
+    } else if (script_is(command, 0, "wait-leader")) {
         script_print("%c %s\n", name_of(host), run_until(WAIT_MS, leads, host) ? "leads" : "does not lead");
-    } else if (script_is(command, 0, "hand")) {
-        hand_over(host);
+    } else if (script_is(command, 0, "transfer")) {
+        transfer_leadership(host);
     } else if (script_is(command, 0, "store")) {
         store_turns(script_number(command, 1, 0), true);
-    } else if (script_is(command, 0, "pour")) {
+    } else if (script_is(command, 0, "store-async")) {
         store_turns(script_number(command, 1, 0), false);
     } else if (script_is(command, 0, "kill")) {
         end_host(host);
     } else if (script_is(command, 0, "start")) {
         start_host(host);
-    } else if (script_is(command, 0, "install")) {
+    } else if (script_is(command, 0, "send-snapshot")) {
         send_snapshot(host);
-    } else if (script_is(command, 0, "installed")) {
-        script_print("%s\n", run_until(WAIT_MS, has_installed, host) ? "installed" : "nothing came");
-    } else if (script_is(command, 0, "led")) {
-        script_print("%s\n", run_until(WAIT_MS, is_led, host) ? "led" : "not led");
+    } else if (script_is(command, 0, "wait-snapshot")) {
+        script_print("%s\n", run_until(WAIT_MS, has_installed, host) ? "installed" : "not installed");
+    } else if (script_is(command, 0, "wait-caught-up")) {
+        script_print("%s\n", run_until(WAIT_MS, is_caught_up, host) ? "caught up" : "not caught up");
     } else if (script_is(command, 0, "run")) {
         run(script_number(command, 1, 0));
     } else if (script_is(command, 0, "log")) {
-        tell_log(host);
+        print_log(host);
     } else if (script_is(command, 0, "sent")) {
-        tell_sent(host);
+        print_sent(host);
     } else if (script_is(command, 0, "missing")) {
-        tell_missing();
+        print_missing();
     } else {
         script_print("unknown command\n");
     }
@@ -488,7 +492,7 @@
         return EXIT_FAILURE;
     }
     for (int i = 1; i < HOSTS; i++) {
-        snprintf(hosts[i].folder, sizeof(hosts[i].folder), "%.60s/%c", root, name_of(&hosts[i]));
+        snprintf(hosts[i].directory, sizeof(hosts[i].directory), "%.60s/%c", root, name_of(&hosts[i]));
     }
     int status = script_main(argv[1], run_command);
     for (int i = 1; i < HOSTS; i++) {
@@ -500,6 +504,6 @@
         buffer_close(&first->data);
         free(first);
     }
-    remove_files(root);
+    remove_directory(root);
     return status;
 }
--- a/tests/scripted/run_reader.c
+++ b/tests/scripted/run_machine_reader.c
@@ -1,7 +1,9 @@
-/* Readings of the platform's list, page after page:
- *   answer IDS NEXT       the platform's next answer: a page with these servers (a,b or -) and the next page's token,
- * or - answer IDS cut        the same, cut off answer status NUMBER  no page tick MS [unwanted]    the reader's turn;
- * tells what it asks for, and the list once it is whole
+/* Fetches of the platform's machine list, page by page:
+ *   response IDS NEXT       queues a page with these servers (a,b or -) and the next page's token, or -
+ *   response IDS truncated  the same, truncated
+ *   response status NUMBER  queues a response with another status and no page
+ *   tick MS [unwanted]      runs machine_reader_tick() and its requests; prints them, and the list once complete;
+ *                           `unwanted`: the list is not needed
  */
 #include "net/upstream.h"
 
@@ -14,16 +16,16 @@
 #include "proxy/machine_reader.h"
 #include "script.h"
 
-enum { ANSWERS = 8, PERIOD_MS = 100, SPACE = 4096, NAME = 64 };
+enum { MAX_RESPONSES = 8, PERIOD_MS = 100, RECEIVE_BYTES = 4096, MAX_WORD_BYTES = 64 };
 
 static uv_loop_t loop;
 static uv_tcp_t listener;
 static struct upstream_pool pool;
 static struct machine_reader reader;
-static struct buffer answers[ANSWERS];
-static int answer_count;
-static int answered;
-static char space[SPACE];
+static struct buffer responses[MAX_RESPONSES];
+static int response_count;
+static int sent_count;
+static char receive_buffer[RECEIVE_BYTES];
 
 /* ---- The platform ------------------------------------------------------------------------ */
 
@@ -39,25 +41,25 @@
     free(write);
 }
 
-static void on_space(uv_handle_t *handle, size_t suggested, uv_buf_t *out)
+static void on_allocate(uv_handle_t *handle, size_t suggested, uv_buf_t *out)
 {
     (void)handle;
     (void)suggested;
-    *out = uv_buf_init(space, sizeof(space));
+    *out = uv_buf_init(receive_buffer, sizeof(receive_buffer));
 }
 
-static void on_asked(uv_stream_t *stream, ssize_t got, const uv_buf_t *text)
+static void on_request(uv_stream_t *stream, ssize_t got, const uv_buf_t *text)
 {
     if (got <= 0) {
         return;
     }
     int target = (int)strcspn(text->base + 4, " ");
-    script_print("asked %.*s\n", target, text->base + 4);
+    script_print("requested %.*s\n", target, text->base + 4);
     uv_read_stop(stream);
     uv_write_t *write = memory_new(sizeof(*write));
-    uv_buf_t answer = uv_buf_init((char *)answers[answered].data, (unsigned)answers[answered].length);
-    answered++;
-    uv_write(write, stream, &answer, 1, on_written);
+    uv_buf_t response = uv_buf_init((char *)responses[sent_count].data, (unsigned)responses[sent_count].length);
+    sent_count++;
+    uv_write(write, stream, &response, 1, on_written);
 }
 
 static void on_connected(uv_stream_t *from, int status)
@@ -66,7 +68,7 @@
     (void)status;
     uv_tcp_init(&loop, client);
     uv_accept(from, (uv_stream_t *)client);
-    uv_read_start((uv_stream_t *)client, on_space, on_asked);
+    uv_read_start((uv_stream_t *)client, on_allocate, on_request);
 }
 
 static void write_entries(const char *ids, struct buffer *out)
@@ -79,12 +81,12 @@
     }
 }
 
-static void run_answer(const script_command_t *command)
+static void run_response(const script_command_t *command)
 {
     struct buffer body = {0};
-    struct buffer *out = &answers[answer_count++];
-    char ids[NAME];
-    char next[NAME];
+    struct buffer *out = &responses[response_count++];
+    char ids[MAX_WORD_BYTES];
+    char next[MAX_WORD_BYTES];
     script_copy(command, 1, ids, sizeof(ids));
     script_copy(command, 2, next, sizeof(next));
     bool page = !script_is(command, 1, "status");
@@ -92,7 +94,7 @@
         buffer_append_text(&body, "{\"instances\":[");
         write_entries(ids, &body);
     }
-    if (page && strcmp(next, "cut") != 0) {
+    if (page && strcmp(next, "truncated") != 0) {
         buffer_printf(&body, strcmp(next, "-") == 0 ? "],\"next-token\":null}" : "],\"next-token\":\"%s\"}", next);
     }
     buffer_printf(out, "HTTP/1.1 %s No\r\nContent-Length: %zu\r\nConnection: close\r\n\r\n%s", page ? "200" : next,
@@ -123,17 +125,17 @@
         uv_run(&loop, UV_RUN_ONCE);
     }
     script_print(reader.failures > failures ? "failed\n" : "");
-    for (int i = 0; i < answered; i++) {
-        buffer_close(&answers[i]);
+    for (int i = 0; i < sent_count; i++) {
+        buffer_close(&responses[i]);
     }
-    answer_count = 0;
-    answered = 0;
+    response_count = 0;
+    sent_count = 0;
 }
 
 static void run(const script_command_t *command)
 {
-    if (script_is(command, 0, "answer")) {
-        run_answer(command);
+    if (script_is(command, 0, "response")) {
+        run_response(command);
     } else {
         run_tick(command);
     }
@@ -144,12 +146,12 @@
     struct sockaddr_in any;
     struct sockaddr_in bound;
     int length = sizeof(bound);
-    char address[NAME];
+    char address[MAX_WORD_BYTES];
     uv_loop_init(&loop);
     uv_tcp_init(&loop, &listener);
     uv_ip4_addr("127.0.0.1", 0, &any);
     uv_tcp_bind(&listener, (const struct sockaddr *)&any, 0);
-    uv_listen((uv_stream_t *)&listener, ANSWERS, on_connected);
+    uv_listen((uv_stream_t *)&listener, MAX_RESPONSES, on_connected);
     uv_tcp_getsockname(&listener, (struct sockaddr *)&bound, &length);
     snprintf(address, sizeof(address), "127.0.0.1:%u", ntohs(bound.sin_port));
     upstream_init(&pool, &loop);
--- a/tests/scripted/run_prefix.c
+++ b/tests/scripted/run_prefix.c
@@ -1,18 +1,18 @@
-/* Placement by kept prompt parts:
- *   servers COUNT SLOTS           so many servers of one service and zone, with nothing kept
- *   at MS                         the time moves on
- *   cost OWN MADE                 a call of so many tokens has ended
- *   call COUNT [ID:TOKENS,...]    so many calls, all under way at once, with these shared parts; tells how many
- *                                 servers got them, or the most and the least that one got
- *   missing ID:TOKENS,...         tokens that the first server would read anew
- *   fill COUNT                    so many other chains are sent to the first server */
+/* Placement by cached prompt parts:
+ *   servers COUNT SLOTS           COUNT servers in one service and zone, with empty caches
+ *   at MS                         sets the time
+ *   cost UNSHARED OUTPUT          records a call with these numbers of tokens
+ *   call COUNT [ID:TOKENS,...]    places COUNT concurrent calls with these shared parts; prints the number of calls at
+ *                                 the only server used, or the highest and the lowest number at a server
+ *   missing ID:TOKENS,...         prints the tokens that the first server has not cached
+ *   fill COUNT                    sends COUNT prompts with different chains to the first server */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
 #include "base/buffer.h"
 #include "script.h"
-#include "server_list.h"
+#include "server_fixture.h"
 
 enum { PARTS_MAX_BYTES = 128 };
 
@@ -38,18 +38,18 @@
     prefix_chain_t chain;
     read_chain(command, 2, &chain);
     for (uint64_t i = 0; i < script_number(command, 1, 0); i++) {
-        struct server_wish wish = {.service = "service", .zone = "zone", .chain = &chain, .cost = &cost};
-        struct server *server = server_table_choose(&servers, now_ms, &wish);
-        server_begin(server, now_ms);
-        prefix_table_note(&server->prefixes, now_ms, &chain);
+        struct server_criteria criteria = {.service = "service", .zone = "zone", .chain = &chain, .cost = &cost};
+        struct server *server = server_table_choose(&servers, now_ms, &criteria);
+        server_begin_request(server, now_ms);
+        prefix_table_record(&server->prefixes, now_ms, &chain);
     }
     uint32_t used = 0;
     uint32_t most = 0;
     uint32_t least = UINT32_MAX;
     for (const struct server *server = servers.servers; server != NULL; server = server->hh.next) {
-        used += server->calls > 0 ? 1 : 0;
-        most = server->calls > most ? server->calls : most;
-        least = server->calls < least ? server->calls : least;
+        used += server->in_flight > 0 ? 1 : 0;
+        most = server->in_flight > most ? server->in_flight : most;
+        least = server->in_flight < least ? server->in_flight : least;
     }
     if (used == 1) {
         script_print("one server %u\n", most);
@@ -63,7 +63,7 @@
     for (uint64_t i = 0; i < count; i++) {
         prefix_chain_t chain = {0};
         prefix_chain_add(&chain, view_of(&i, sizeof(i)), 1);
-        prefix_table_note(&servers.servers->prefixes, now_ms, &chain);
+        prefix_table_record(&servers.servers->prefixes, now_ms, &chain);
     }
 }
 
@@ -71,16 +71,16 @@
 {
     prefix_chain_t chain;
     if (script_is(command, 0, "servers")) {
-        server_list_start(&servers, script_number(command, 1, 1), script_number(command, 2, 1));
+        server_fixture_start(&servers, script_number(command, 1, 1), script_number(command, 2, 1));
     } else if (script_is(command, 0, "at")) {
         now_ms = 1000 + script_number(command, 1, 0);
     } else if (script_is(command, 0, "cost")) {
-        prefix_cost_note(&cost, script_number(command, 1, 0), script_number(command, 2, 0));
+        prefix_cost_record(&cost, script_number(command, 1, 0), script_number(command, 2, 0));
     } else if (script_is(command, 0, "call")) {
         call(command);
     } else if (script_is(command, 0, "missing")) {
         read_chain(command, 1, &chain);
-        script_print("%u\n", prefix_table_missing(&servers.servers->prefixes, now_ms, &chain));
+        script_print("%u\n", prefix_table_uncached_tokens(&servers.servers->prefixes, now_ms, &chain));
     } else if (script_is(command, 0, "fill")) {
         fill(script_number(command, 1, 0));
     }
--- a/tests/scripted/run_presence.c
+++ b/tests/scripted/run_presence.c
@@ -1,26 +1,26 @@
-/* Which gateways were heard of, and who withdraws:
- *   hear MS MACHINE ZONE     a report at that time
- *   leave MS MACHINE ZONE    the last report of a gateway that stops
- *   zone MS ZONE             what a gateway of the zone is told then, and what it does
- *   clear                    another replica leads from now on */
+/* Tests which gateways count as silent, and when a gateway reports itself as not ready (withdraws). Commands:
+ *   report MS MACHINE ZONE   a gateway reports
+ *   leave MS MACHINE ZONE    a gateway that shuts down sends its last report
+ *   zone MS ZONE             prints the counts that a gateway of the zone receives, and its decision
+ *   clear                    forgets all gateways, as on a new leader */
 #include "core/presence.h"
 #include "script.h"
 
 static presence_t presence;
 
-static void hear(const script_command_t *command, bool leaving)
+static void record_report(const script_command_t *command, bool leaving)
 {
     LoadReport report = {0};
     report.machine = script_number(command, 2, 0);
     report.zone = script_number(command, 3, 0);
     report.leaving = leaving;
-    presence_hear(&presence, script_number(command, 1, 0), &report);
+    presence_record_report(&presence, script_number(command, 1, 0), &report);
 }
 
-static void tell(uint64_t now_ms, uint64_t zone)
+static void print_decision(uint64_t now_ms, uint64_t zone)
 {
     LoadTotals totals = {0};
-    presence_fade(&presence, now_ms);
+    presence_expire(&presence, now_ms);
     presence_count(&presence, now_ms, zone, &totals);
     script_print("own %u silent %u, others %u silent %u: %s\n", totals.own_zone.gateways, totals.own_zone.silent,
                  totals.other_zones.gateways, totals.other_zones.silent,
@@ -29,12 +29,12 @@
 
 static void run(const script_command_t *command)
 {
-    if (script_is(command, 0, "hear")) {
-        hear(command, false);
+    if (script_is(command, 0, "report")) {
+        record_report(command, false);
     } else if (script_is(command, 0, "leave")) {
-        hear(command, true);
+        record_report(command, true);
     } else if (script_is(command, 0, "zone")) {
-        tell(script_number(command, 1, 0), script_number(command, 2, 0));
+        print_decision(script_number(command, 1, 0), script_number(command, 2, 0));
     } else if (script_is(command, 0, "clear")) {
         presence_clear(&presence);
     } else {
--- a/tests/scripted/run_reach.c
+++ b/tests/scripted/run_reach.c
@@ -1,25 +1,25 @@
-/* Whether a silent server can be reached:
- *   heard MS                      something came from it; tells `regained` if it was lost
- *   due MS [busy]                 whether it is dialled now; `busy`: it has requests under way
- *   answer MS                     an answer began after so long
- *   dial                          a dial begins
- *   answers MS | silent MS        the dial's outcome, and what it changes
- *   open silent                   its machine answered nothing on an open connection, and what that changes
- *   gone                          whether it is gone */
+/* Failure detection for a silent server:
+ *   heard MS                      data was received; prints `recovered` if the server was unreachable
+ *   due MS [busy]                 prints whether a probe is due; `busy`: the server has in-flight requests
+ *   response MS                   a response started after MS
+ *   probe                         a probe starts
+ *   connected MS | silent MS      the probe ends at this time; prints the state change
+ *   open silent                   the machine does not respond on an open connection; prints the state change
+ *   dead                          prints whether the server is dead */
 #include "core/reach.h"
 #include "script.h"
 
 static reach_t reach;
-static uint64_t heard_ms;
+static uint64_t last_activity_ms;
 
-static const char *change_word(reach_change_t change)
+static const char *change_text(reach_change_t change)
 {
     switch (change) {
-    case REACH_AS_BEFORE: return "as before\n";
-    case REACH_LOST: return "lost\n";
-    case REACH_CUT_OFF: return "cut off\n";
-    case REACH_GONE: return "gone\n";
-    case REACH_REGAINED: return "regained\n";
+    case REACH_UNCHANGED: return "unchanged\n";
+    case REACH_UNREACHABLE: return "unreachable\n";
+    case REACH_CONFIRMED_UNREACHABLE: return "confirmed\n";
+    case REACH_DEAD: return "dead\n";
+    case REACH_RECOVERED: return "recovered\n";
     }
     return "";
 }
@@ -28,21 +28,22 @@
 {
     uint64_t at_ms = script_number(command, 1, 0);
     if (script_is(command, 0, "heard")) {
-        heard_ms = at_ms;
-        reach_change_t change = reach_note_heard(&reach);
-        script_print("%s", change == REACH_AS_BEFORE ? "" : change_word(change));
+        last_activity_ms = at_ms;
+        reach_change_t change = reach_record_received(&reach);
+        script_print("%s", change == REACH_UNCHANGED ? "" : change_text(change));
     } else if (script_is(command, 0, "due")) {
-        script_print(reach_is_due(&reach, at_ms, script_is(command, 2, "busy"), heard_ms) ? "yes\n" : "no\n");
-    } else if (script_is(command, 0, "answer")) {
-        reach_note_answer(&reach, at_ms);
-    } else if (script_is(command, 0, "dial")) {
-        reach_note_dial(&reach);
+        script_print(reach_probe_is_due(&reach, at_ms, script_is(command, 2, "busy"), last_activity_ms) ? "yes\n"
+                                                                                                        : "no\n");
+    } else if (script_is(command, 0, "response")) {
+        reach_record_response(&reach, at_ms);
+    } else if (script_is(command, 0, "probe")) {
+        reach_record_probe_start(&reach);
     } else if (script_is(command, 0, "open")) {
-        script_print("%s", change_word(reach_note_silent_open(&reach)));
-    } else if (script_is(command, 0, "gone")) {
-        script_print(reach_is_gone(&reach) ? "yes\n" : "no\n");
+        script_print("%s", change_text(reach_record_peer_silent(&reach)));
+    } else if (script_is(command, 0, "dead")) {
+        script_print(reach_is_dead(&reach) ? "yes\n" : "no\n");
     } else {
-        script_print("%s", change_word(reach_note_outcome(&reach, at_ms, script_is(command, 0, "answers"))));
+        script_print("%s", change_text(reach_record_outcome(&reach, at_ms, script_is(command, 0, "connected"))));
     }
 }
 
--- a/tests/scripted/run_resume.c
+++ b/tests/scripted/run_resume.c
@@ -1,40 +1,40 @@
-/* Where a broken stream goes on:
- *   decide [servers N] [attempts N] [resumes N] [left MS] [gone] [closed] [fixed]
- *                                 `gone`: its server is known to have ended; `closed`: its zone is drained; `fixed`:
- * the route cannot be resumed */
+/* Where an interrupted stream is resumed:
+ *   decide [servers N] [attempts N] [resumes N] [left MS] [gone] [drained] [not-resumable]
+ *                                 prints the target; `gone`: the server has ended; `drained`: its zone is drained;
+ *                                 `not-resumable`: the route does not allow resuming */
 #include "core/resume.h"
 #include "script.h"
 
 enum { LEFT_MS = 1000 };
 
-static resume_view_t view_of(const script_command_t *command)
+static resume_stream_t stream_of(const script_command_t *command)
 {
-    resume_view_t view = {.resumable = true, .left_ms = LEFT_MS};
+    resume_stream_t stream = {.resumable = true, .left_ms = LEFT_MS};
     for (int i = 1; i < command->count; i++) {
         if (script_is(command, i, "servers")) {
-            view.servers = (uint32_t)script_number(command, i + 1, 0);
+            stream.servers_used = (uint32_t)script_number(command, i + 1, 0);
         } else if (script_is(command, i, "attempts")) {
-            view.max_attempts = (uint32_t)script_number(command, i + 1, 0);
+            stream.max_attempts = (uint32_t)script_number(command, i + 1, 0);
         } else if (script_is(command, i, "resumes")) {
-            view.resumes = (uint32_t)script_number(command, i + 1, 0);
+            stream.resumes = (uint32_t)script_number(command, i + 1, 0);
         } else if (script_is(command, i, "left")) {
-            view.left_ms = script_number(command, i + 1, 0);
+            stream.left_ms = script_number(command, i + 1, 0);
         } else if (script_is(command, i, "gone")) {
-            view.server_gone = true;
-        } else if (script_is(command, i, "closed")) {
-            view.server_closed = true;
-        } else if (script_is(command, i, "fixed")) {
-            view.resumable = false;
+            stream.server_gone = true;
+        } else if (script_is(command, i, "drained")) {
+            stream.server_out_of_rotation = true;
+        } else if (script_is(command, i, "not-resumable")) {
+            stream.resumable = false;
         }
     }
-    return view;
+    return stream;
 }
 
 static void run(const script_command_t *command)
 {
-    resume_view_t view = view_of(command);
-    switch (resume_decide(&view)) {
-    case RESUME_NOT: script_print("not\n"); break;
+    resume_stream_t stream = stream_of(command);
+    switch (resume_decide(&stream)) {
+    case RESUME_NONE: script_print("none\n"); break;
     case RESUME_SAME: script_print("same\n"); break;
     case RESUME_OTHER: script_print("other\n"); break;
     }
--- a/tests/scripted/run_slow_start.c
+++ b/tests/scripted/run_slow_start.c
@@ -1,68 +1,70 @@
-/* Requests of a fleet at a server that has just started: tokens of the leader, against a count of every arrival.
- *   fleet GATEWAYS RATE OVERSHOOT% SLACK      a fleet, and what the server bears
- *   run SECONDS PER_S [freeze] [cut] [leaders]    that many requests a second of the fleet would go there; gateways
- *                                 freeze, or are cut off from the leader, now and then; a new leader each 700 ms
- *   servers COUNT                 how many grants one server gets in a second, while a gateway asks for a hundred
- * requests to each of so many servers a hundred times: within the limit or above it Prints whether the limit held in
- * every second, how many of those that it allows ran, and how many asks the leader had to answer in its busiest second.
+/* Slow start over all gateways: the tokens granted by the leader must limit the arrivals at the server.
+ *   fleet GATEWAYS RATE OVERSHOOT% SLACK      sets up the gateways and the limit of the server
+ *   run SECONDS PER_S [freeze] [disconnect] [elections]
+ *                                 the gateways together send PER_S requests per second; at random, gateways freeze or
+ *                                 are disconnected from the leader; the leader changes every 700 ms; prints whether
+ *                                 the limit held in every second, the percentage of it that was used, and whether
+ *                                 the token requests in the leader's busiest second were bounded
+ *   servers COUNT                 within a second, a gateway asks 100 times for 100 tokens for each of COUNT servers;
+ *                                 prints whether the grants for one server are within the limit
  */
 #include <stdlib.h>
 #include <string.h>
 
 #include "base/buffer.h"
 #include "core/load_table.h"
-#include "core/quota_purse.h"
+#include "core/quota_lease.h"
 #include "core/slow_start.h"
 #include "script.h"
 
 enum {
-    GATEWAYS_MOST = 2048,
-    ARRIVALS_MOST = 200000,
+    MAX_GATEWAYS = 2048,
+    MAX_ARRIVALS = 200000,
     STEP_MS = 5,
     SECOND_MS = 1000,
-    ANSWER_MS = 20,
-    LEADER_MS = 700,
-    ELECTION_MS = 100,
-    FROZEN_MS = 600,
-    WAY_MS = 50
+    REPLY_MS = 20,          /* from a token request to its reply */
+    LEADER_CHANGE_MS = 700, /* interval */
+    ELECTION_MS = 100,      /* time without a leader */
+    MAX_FAULT_MS = 600,     /* of a freeze or a disconnection */
+    MAX_TRANSIT_MS = 50     /* of a request to the server */
 };
 
 typedef struct gateway_t {
-    quota_purses_t purses;
+    quota_leases_t leases;
     QuotaAsk ask;
     bool asking;
     uint64_t asked_ms;
     uint64_t frozen_until_ms;
-    uint64_t cut_until_ms;
-    uint32_t waiting; /* requests for which no other server is there */
+    uint64_t disconnected_until_ms;
+    uint32_t waiting; /* requests without a token; no other server can take them */
 } gateway_t;
 
 static const uint64_t SERVER = 7;
 
-static gateway_t gateways[GATEWAYS_MOST];
+static gateway_t gateways[MAX_GATEWAYS];
 static uint32_t gateway_count;
 static struct route_table *routes;
-static slow_start_bounds_t bounds;
+static slow_start_tolerance_t tolerance;
 static slow_start_table_t leader;
 static uint64_t leaderless_until_ms;
 static uint64_t now_ms = SECOND_MS;
-static uint64_t arrivals[ARRIVALS_MOST];
+static uint64_t arrivals[MAX_ARRIVALS];
 static uint32_t arrival_count;
-static uint64_t asks[ARRIVALS_MOST];
+static uint64_t asks[MAX_ARRIVALS];
 static uint32_t ask_count;
 static uint64_t random_state = 11;
 
-static uint32_t draw(uint32_t below)
+static uint32_t random_below(uint32_t limit)
 {
     random_state = random_state * 6364136223846793005ULL + 1442695040888963407ULL;
-    return (uint32_t)((random_state >> 33) % below);
+    return (uint32_t)((random_state >> 33) % limit);
 }
 
 static void begin_fleet(const script_command_t *command)
 {
     struct findings findings = {0};
     for (uint32_t i = 0; i < gateway_count; i++) {
-        quota_purses_close(&gateways[i].purses);
+        quota_leases_close(&gateways[i].leases);
         free(gateways[i].ask.demands);
     }
     memset(gateways, 0, sizeof(gateways));
@@ -74,48 +76,48 @@
     service->start_rate_per_s = (double)script_number(command, 2, 1);
     route_table_check(routes, &findings);
     findings_close(&findings);
-    bounds.overshoot = (double)script_number(command, 3, 0) / 100;
-    bounds.slack = (double)script_number(command, 4, 0);
+    tolerance.overshoot = (double)script_number(command, 3, 0) / 100;
+    tolerance.slack = (double)script_number(command, 4, 0);
     quota_table_clear(&leader.tokens, now_ms);
 }
 
 static bool request(gateway_t *gateway)
 {
-    if (!quota_purses_has(&gateway->purses, now_ms, SERVER)) {
-        quota_purses_name_service(&gateway->purses, SERVER, routes->services[0].hash);
+    if (!quota_leases_has(&gateway->leases, now_ms, SERVER)) {
+        quota_leases_set_service(&gateway->leases, SERVER, routes->services[0].hash);
     }
-    if (quota_purses_take(&gateway->purses, now_ms, SERVER, QUOTA_USE_REQUEST)) {
-        /* It leaves before its token's time is over, however long it waits for a connection. */
-        uint64_t left_ms = quota_purses_expiry(&gateway->purses, SERVER) - now_ms;
-        arrivals[arrival_count++] = now_ms + draw((uint32_t)left_ms) + draw(WAY_MS);
+    if (quota_leases_take(&gateway->leases, now_ms, SERVER, QUOTA_USE_REQUEST)) {
+        /* It is sent before the token expires, however long it waits for a connection. */
+        uint64_t left_ms = quota_leases_expiry(&gateway->leases, SERVER) - now_ms;
+        arrivals[arrival_count++] = now_ms + random_below((uint32_t)left_ms) + random_below(MAX_TRANSIT_MS);
         return true;
     }
     return false;
 }
 
-static void take_answer(gateway_t *gateway)
+static void apply_reply(gateway_t *gateway)
 {
-    bool lost = now_ms < gateway->cut_until_ms || now_ms < leaderless_until_ms;
+    bool lost = now_ms < gateway->disconnected_until_ms || now_ms < leaderless_until_ms;
     QuotaGrant grant = {0};
     if (!lost) {
         asks[ask_count++] = now_ms;
-        slow_start_answer(&leader, now_ms, routes, &bounds, &gateway->ask, &grant);
-        quota_purses_put(&gateway->purses, gateway->asked_ms, SERVER, grant.shares[0].granted);
+        slow_start_answer(&leader, now_ms, routes, &tolerance, &gateway->ask, &grant);
+        quota_leases_add(&gateway->leases, gateway->asked_ms, SERVER, grant.shares[0].granted);
         free(grant.shares);
     }
-    while (gateway->waiting > 0 && quota_purses_has(&gateway->purses, now_ms, SERVER) && request(gateway)) {
+    while (gateway->waiting > 0 && quota_leases_has(&gateway->leases, now_ms, SERVER) && request(gateway)) {
         gateway->waiting--;
     }
-    gateway->waiting = 0; /* those that got none are refused */
+    gateway->waiting = 0; /* requests without a token are refused */
     free(gateway->ask.demands);
     memset(&gateway->ask, 0, sizeof(gateway->ask));
     gateway->asking = false;
 }
 
-static uint64_t ask_pause(void)
+static uint64_t ask_interval(void)
 {
-    uint64_t pause_ms = (uint64_t)gateway_count * SECOND_MS / LOAD_REPORTS_A_S;
-    return pause_ms > SLOW_START_ASK_MS ? pause_ms : SLOW_START_ASK_MS;
+    uint64_t pause_ms = (uint64_t)gateway_count * SECOND_MS / LOAD_REPORTS_PER_S;
+    return pause_ms > SLOW_START_REQUEST_INTERVAL_MS ? pause_ms : SLOW_START_REQUEST_INTERVAL_MS;
 }
 
 static void step_gateway(gateway_t *gateway)
@@ -123,25 +125,25 @@
     if (now_ms < gateway->frozen_until_ms) {
         return;
     }
-    quota_purses_expire(&gateway->purses, now_ms);
-    if (gateway->asking && now_ms >= gateway->asked_ms + ANSWER_MS) {
-        take_answer(gateway);
-    } else if (!gateway->asking && gateway->purses.due && now_ms >= gateway->asked_ms + ask_pause()) {
-        quota_purses_ask(&gateway->purses, now_ms, &gateway->ask);
+    quota_leases_expire(&gateway->leases, now_ms);
+    if (gateway->asking && now_ms >= gateway->asked_ms + REPLY_MS) {
+        apply_reply(gateway);
+    } else if (!gateway->asking && gateway->leases.due && now_ms >= gateway->asked_ms + ask_interval()) {
+        quota_leases_fill_request(&gateway->leases, now_ms, &gateway->ask);
         gateway->asking = true;
         gateway->asked_ms = now_ms;
     }
 }
 
-static void disturb(const script_command_t *command)
+static void inject_faults(const script_command_t *command)
 {
     for (int i = 3; i < command->count; i++) {
-        gateway_t *gateway = &gateways[draw(gateway_count)];
-        if (script_is(command, i, "freeze") && draw(4) == 0) {
-            gateway->frozen_until_ms = now_ms + draw(FROZEN_MS);
-        } else if (script_is(command, i, "cut") && draw(4) == 0) {
-            gateway->cut_until_ms = now_ms + draw(FROZEN_MS);
-        } else if (script_is(command, i, "leaders") && now_ms % LEADER_MS == 0) {
+        gateway_t *gateway = &gateways[random_below(gateway_count)];
+        if (script_is(command, i, "freeze") && random_below(4) == 0) {
+            gateway->frozen_until_ms = now_ms + random_below(MAX_FAULT_MS);
+        } else if (script_is(command, i, "disconnect") && random_below(4) == 0) {
+            gateway->disconnected_until_ms = now_ms + random_below(MAX_FAULT_MS);
+        } else if (script_is(command, i, "elections") && now_ms % LEADER_CHANGE_MS == 0) {
             leaderless_until_ms = now_ms + ELECTION_MS;
             quota_table_clear(&leader.tokens, leaderless_until_ms);
         }
@@ -173,15 +175,15 @@
 {
     uint64_t seconds = script_number(command, 1, 1);
     uint64_t per_s = script_number(command, 2, 1);
-    double limit = slow_start_limit(&bounds, routes->services[0].start_rate_per_s);
+    double limit = slow_start_limit(&tolerance, routes->services[0].start_rate_per_s);
     uint64_t end_ms = now_ms + seconds * SECOND_MS;
     uint64_t wanted = 0;
     arrival_count = 0;
     ask_count = 0;
     for (; now_ms < end_ms; now_ms += STEP_MS) {
-        disturb(command);
+        inject_faults(command);
         for (wanted += per_s * STEP_MS; wanted >= SECOND_MS; wanted -= SECOND_MS) {
-            gateway_t *gateway = &gateways[draw(gateway_count)];
+            gateway_t *gateway = &gateways[random_below(gateway_count)];
             if (now_ms >= gateway->frozen_until_ms && !request(gateway)) {
                 gateway->waiting++;
             }
@@ -192,17 +194,18 @@
     }
     uint32_t most = busiest_second(arrivals, arrival_count);
     uint32_t busiest = busiest_second(asks, ask_count);
-    script_print("%s, %u%% of it, %s\n", most <= limit ? "limit held" : "limit broken",
+    script_print("%s, %u%% of it, %s\n", most <= limit ? "limit held" : "limit exceeded",
                  (uint32_t)(arrival_count * 100 / (limit * (double)seconds)) / 10 * 10,
-                 busiest <= LOAD_REPORTS_A_S + LOAD_REPORTS_A_S / 10 ? "asks bounded" : "asks not bounded");
+                 busiest <= LOAD_REPORTS_PER_S + LOAD_REPORTS_PER_S / 10 ? "token requests bounded"
+                                                                         : "token requests not bounded");
 }
 
-/* Each server is asked for by its own hash; what the first one gets stands for all. */
+/* Counts only the grants for the first server, since all servers have the same demand. */
 static void ask_for_many(const script_command_t *command)
 {
     enum { ASKS = 100, WANTED = 100 };
     uint64_t count = script_number(command, 1, 1);
-    double limit = slow_start_limit(&bounds, routes->services[0].start_rate_per_s);
+    double limit = slow_start_limit(&tolerance, routes->services[0].start_rate_per_s);
     uint32_t granted = 0;
     QuotaDemand *demands = memory_new(count * sizeof(*demands));
     for (int ask_number = 0; ask_number < ASKS; ask_number++) {
@@ -211,13 +214,13 @@
             demands[i] = (QuotaDemand){.tenant = i + 1, .wanted = WANTED, .service = routes->services[0].hash};
         }
         QuotaAsk ask = {.demands = demands, .demands_count = (pb_size_t)count};
-        slow_start_answer(&leader, now_ms, routes, &bounds, &ask, &grant);
+        slow_start_answer(&leader, now_ms, routes, &tolerance, &ask, &grant);
         granted += grant.shares[0].granted;
         free(grant.shares);
         now_ms += SECOND_MS / ASKS;
     }
     free(demands);
-    script_print("%s\n", granted <= limit ? "limit held" : "limit broken");
+    script_print("%s\n", granted <= limit ? "limit held" : "limit exceeded");
 }
 
 static void run(const script_command_t *command)
--- a/tests/scripted/run_snapshot.c
+++ b/tests/scripted/run_snapshot.c
@@ -1,21 +1,24 @@
-/* Replicas on real files: a leads alone, b is a learner. Ends are as by a kill: what was written stays.
- *   new LOG_KB STATE_KB [three]   empties all and starts a; shares of memory for log and state, 0: none;
- *                         `three`: a, b and c vote, and all are started
- *   full NAME, room NAME  its disk takes nothing from now on, or takes it again
- *   refuse NAME           it takes entries, and no snapshot, until there is room
- *   leader                who leads
- *   pour COUNT BYTES      turns are stored at whoever leads, and nobody waits for them
- *   start NAME            starts a replica from its files
- *   kill NAME             ends it
- *   lose NAME             removes its files
- *   store COUNT BYTES     a stores so many turns, each tenth of which begins a conversation
- *   begin COUNT           as many programs begin a turn at a
- *   run STEPS             runs
- *   chunks COUNT          runs until so many parts of a snapshot have come to b
- *   wait MS               time passes at which nothing is stored: turns expire
- *   compare               whether b holds what a holds, read back from its files
- *   files                 whether files of texts were given back
- *   log                   whether the log in memory is below its share */
+/* Tests snapshots, memory limits and full disks of replicas on real files. a is the only voter, b a learner. Commands:
+ *   new LOG_KB STATE_KB [three]  starts a with empty disks; LOG_KB: share of the log in memory, in KiB, above which a
+ *                                snapshot is due (twice that is its limit), 0: REPLICA_LOG_BYTES and no limit;
+ *                                STATE_KB: memory limit of the state, in KiB, 0: none; `three`: a, b and c vote, and
+ *                                all are started
+ *   disk-full NAME               makes its disk accept no writes
+ *   disk-ok NAME                 makes its disk accept all writes again
+ *   refuse-snapshots NAME        makes its disk accept entries, but no snapshots
+ *   leader                       prints the leader
+ *   start NAME                   starts a replica from its files
+ *   kill NAME                    stops it as SIGKILL does: its files keep all that was written
+ *   delete-files NAME            deletes its files
+ *   store COUNT BYTES            stores turns at the leader; every tenth one starts a new conversation
+ *   store-async COUNT BYTES      the same, without waiting for the last ones
+ *   begin COUNT                  begins turns at the leader, each of another program, and prints whether it refuses any
+ *   run STEPS                    runs for STEPS steps of 20 ms
+ *   chunks COUNT                 runs until COUNT snapshot chunks were delivered
+ *   wait MS                      runs for a time in ms
+ *   compare                      prints whether b has the same turns as a, texts included
+ *   files                        prints whether a's oldest text file was deleted
+ *   log                          prints whether a's log in memory is within its share */
 #include <dirent.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -33,27 +36,25 @@
     STEP_MS = 20,
     SETTLE_STEPS = 5,
     ELECTION_STEPS = 100,
-    CALLER = 9,
-    HOSTS = 4, /* by id, from 1 */
-    BRANCH = 10,
-    ENTRY_MOST = 8 << 10, /* the entry that fills a log is still taken */
+    CLIENT = 9,
+    HOSTS = 4, /* array size; ids start at 1 */
+    TURNS_PER_CONVERSATION = 10,
+    MAX_ENTRY_BYTES = 8 << 10, /* the entry that reaches the log limit is still accepted */
     RETENTION_MS = 5000,
     TEXT_FILE_BYTES = 64 << 10,
     PATH = 96
 };
 
-/* A replica and its files. */
 typedef struct host_t {
-    bool up;
-    bool full;
-    bool refuses;
-    char folder[PATH];
+    bool running;
+    bool disk_full;
+    bool refuses_snapshots;
+    char directory[PATH];
     struct replica replica;
     struct log_store log;
-    struct history_store texts;
+    struct history_store history;
 } host_t;
 
-/* A frame on its way. */
 typedef struct frame_t {
     uint32_t from;
     uint32_t to;
@@ -72,19 +73,19 @@
 static uint32_t refused;
 static uint32_t chunks;
 static char root[PATH];
-static bool three;
+static bool three_voters;
 
-/* ---- Effects ---------------------------------------------------------------------- */
+/* ---- Callbacks -------------------------------------------------------------------- */
 
 static uint32_t host_id(const host_t *host)
 {
     return (uint32_t)(host - hosts);
 }
 
-static enum replica_sync on_sync(void *context)
+static enum replica_sync_result on_sync(void *context)
 {
     host_t *host = context;
-    if (host->full) {
+    if (host->disk_full) {
         return REPLICA_SYNC_BLOCKED;
     }
     return log_store_sync(&host->log) ? REPLICA_SYNC_DONE : REPLICA_SYNC_FAILED;
@@ -93,13 +94,13 @@
 static bool on_snapshot_begin(void *context, uint32_t group, const struct raft_snapshot *snapshot)
 {
     host_t *host = context;
-    return !host->full && !host->refuses && log_store_snapshot_begin(&host->log, group, snapshot);
+    return !host->disk_full && !host->refuses_snapshots && log_store_snapshot_begin(&host->log, group, snapshot);
 }
 
 static bool on_snapshot_commit(void *context, uint32_t group, bool reset_log)
 {
     host_t *host = context;
-    return history_store_sync(&host->texts) && log_store_snapshot_commit(&host->log, group, reset_log);
+    return history_store_sync(&host->history) && log_store_snapshot_commit(&host->log, group, reset_log);
 }
 
 static void on_send(void *context, uint32_t to, struct view data)
@@ -108,11 +109,11 @@
     frame->from = host_id(context);
     frame->to = to;
     buffer_append(&frame->data, data.data, data.length);
-    frame_t **place = &frames;
-    while (*place != NULL) {
-        place = &(*place)->next;
+    frame_t **link = &frames;
+    while (*link != NULL) {
+        link = &(*link)->next;
     }
-    *place = frame;
+    *link = frame;
 }
 
 /* ---- Hosts ------------------------------------------------------------------------ */
@@ -126,50 +127,50 @@
         .snapshot_commit = on_snapshot_commit,
         .send = on_send,
     };
-    replica_disk_fill(&io, &host->log);
+    replica_disk_set_callbacks(&io, &host->log);
     struct replica_config config = {
         .node = host_id(host),
         .groups = 1,
-        .members = {.count = three ? 3 : 2, .nodes = {1, 2, 3}, .learners = {false, !three, false}},
+        .members = {.count = three_voters ? 3 : 2, .nodes = {1, 2, 3}, .learners = {false, !three_voters, false}},
         .election_timeout_ms = 400,
         .heartbeat_ms = 80,
         .log_bytes = log_bytes,
-        .log_bytes_most = 2 * log_bytes,
-        .state_bytes = state_bytes,
-        .steady_stamps = true,
+        .max_log_bytes = 2 * log_bytes,
+        .max_state_bytes = state_bytes,
+        .monotonic_timestamps = true,
     };
-    char *texts_folder = file_path(host->folder, "texts");
-    if (!history_store_open(&host->texts, texts_folder)) {
-        script_print("%s\n", host->texts.error);
+    char *history_directory = file_path(host->directory, "texts");
+    if (!history_store_open(&host->history, history_directory)) {
+        script_print("%s\n", host->history.error);
     }
-    free(texts_folder);
-    host->texts.segment_bytes = TEXT_FILE_BYTES;
-    struct history_io history = history_store_io(&host->texts);
+    free(history_directory);
+    host->history.segment_bytes = TEXT_FILE_BYTES;
+    struct history_io history = history_store_io(&host->history);
     replica_init(&host->replica, &config, &io, &history);
-    if (!replica_restore_log(&host->replica, &host->log, host->folder)) {
+    if (!replica_restore_log(&host->replica, &host->log, host->directory)) {
         script_print("%s\n", host->log.error);
     }
-    history_store_sweep(&host->texts);
-    host->up = true;
+    history_store_sweep(&host->history);
+    host->running = true;
     replica_start(&host->replica, now_ms);
 }
 
 static void end_host(host_t *host)
 {
-    if (host->up) {
+    if (host->running) {
         replica_close(&host->replica);
         log_store_close(&host->log);
-        history_store_close(&host->texts);
+        history_store_close(&host->history);
     }
-    host->up = false;
+    host->running = false;
 }
 
-static void lose_host(const host_t *host)
+static void delete_files(const host_t *host)
 {
     char command[2 * PATH];
-    snprintf(command, sizeof(command), "rm -rf '%s'", host->folder);
+    snprintf(command, sizeof(command), "rm -rf '%s'", host->directory);
     if (system(command) != 0) {
-        script_print("cannot remove %s\n", host->folder);
+        script_print("cannot remove %s\n", host->directory);
     }
 }
 
@@ -180,7 +181,7 @@
 
 /* ---- Frames ----------------------------------------------------------------------- */
 
-static void note_reply(const Reply *reply)
+static void record_reply(const Reply *reply)
 {
     EntryResult result = {0};
     ResultCode code = reply->code;
@@ -199,9 +200,9 @@
     frames = first->next;
     if (message_decode(buffer_view(&first->data), Frame_fields, &frame)) {
         bool chunk = frame.which_payload == Frame_raft_tag && frame.payload.raft.type == RAFT_SNAPSHOT;
-        if (first->to == CALLER && frame.which_payload == Frame_reply_tag) {
-            note_reply(&frame.payload.reply);
-        } else if (first->to < HOSTS && hosts[first->to].up) {
+        if (first->to == CLIENT && frame.which_payload == Frame_reply_tag) {
+            record_reply(&frame.payload.reply);
+        } else if (first->to < HOSTS && hosts[first->to].running) {
             chunks += chunk ? 1 : 0;
             replica_receive(&hosts[first->to].replica, now_ms, first->from, &frame);
         }
@@ -214,19 +215,19 @@
 static void flush_hosts(void)
 {
     for (int i = 1; i < HOSTS; i++) {
-        if (hosts[i].up) {
+        if (hosts[i].running) {
             replica_flush(&hosts[i].replica, now_ms);
         }
     }
 }
 
-/* Runs until the time is over, or until so many parts of a snapshot have come. */
-static void run(uint64_t steps, uint32_t most_chunks)
+/* Runs for `steps`, or until `max_chunks` snapshot chunks were delivered. */
+static void run(uint64_t steps, uint32_t max_chunks)
 {
     for (uint64_t i = 0; i < steps; i++) {
         now_ms += STEP_MS;
         for (int k = 1; k < HOSTS; k++) {
-            if (hosts[k].up) {
+            if (hosts[k].running) {
                 replica_tick(&hosts[k].replica, now_ms);
             }
         }
@@ -234,18 +235,18 @@
         while (frames != NULL) {
             deliver_first();
             flush_hosts();
-            if (chunks >= most_chunks) {
+            if (chunks >= max_chunks) {
                 return;
             }
         }
     }
 }
 
-/* The id of the replica that leads; 1 where none does. */
+/* Id of the leader; 1 if there is none. */
 static int leader_id(void)
 {
     for (int i = 1; i < HOSTS; i++) {
-        if (hosts[i].up && raft_is_leader(&hosts[i].replica.groups[0].raft)) {
+        if (hosts[i].running && raft_is_leader(&hosts[i].replica.groups[0].raft)) {
             return i;
         }
     }
@@ -260,7 +261,7 @@
     frame.which_payload = Frame_request_tag;
     frame.payload.request.kind = REQUEST_PROPOSE;
     frame.payload.request.body = buffer_view(&body);
-    replica_receive(&hosts[leader_id()].replica, now_ms, CALLER, &frame);
+    replica_receive(&hosts[leader_id()].replica, now_ms, CLIENT, &frame);
     flush_hosts();
     buffer_close(&body);
 }
@@ -276,8 +277,8 @@
         char parent[16] = "";
         Entry entry = {0};
         snprintf(id, sizeof(id), "t%u", turns_sent);
-        if (turns_sent % BRANCH != 0) {
-            snprintf(parent, sizeof(parent), "t%u", turns_sent - turns_sent % BRANCH);
+        if (turns_sent % TURNS_PER_CONVERSATION != 0) {
+            snprintf(parent, sizeof(parent), "t%u", turns_sent - turns_sent % TURNS_PER_CONVERSATION);
         }
         memset(text, 'a' + (int)(turns_sent % 26), bytes);
         entry.which_command = Entry_turn_finish_tag;
@@ -289,7 +290,7 @@
         entry.command.turn_finish.output = view_of(text, bytes - bytes / 2);
         entry.command.turn_finish.retention_ms = RETENTION_MS;
         propose(&entry);
-        if (i % BRANCH == 0) {
+        if (i % TURNS_PER_CONVERSATION == 0) {
             run(1, UINT32_MAX);
         }
     }
@@ -303,7 +304,7 @@
     script_print("%u stored\n", accepted);
 }
 
-static void tell_leader(void)
+static void print_leader(void)
 {
     script_print("%c leads\n", 'a' - 1 + leader_id());
 }
@@ -324,19 +325,19 @@
         propose(&entry);
         run(1, UINT32_MAX);
     }
-    script_print("%s\n", refused == 0 ? "all begin" : accepted == 0 ? "none begins" : "some begin, then none");
+    script_print("%s\n", refused == 0 ? "none refused" : accepted == 0 ? "none accepted" : "some refused");
 }
 
 static bool same_turn(const struct turn_store *left, const struct turn_store *right, const struct turn *turn)
 {
-    struct buffer mine = {0};
-    struct buffer other = {0};
+    struct buffer left_text = {0};
+    struct buffer right_text = {0};
     const struct turn *found = turn_store_find(right, turn->id);
-    bool same = found != NULL && found->expires_ms == turn->expires_ms && turn_chain_text(left, turn, &mine) &&
-                turn_chain_text(right, found, &other) && mine.length == other.length &&
-                memcmp(mine.data, other.data, mine.length) == 0;
-    buffer_close(&mine);
-    buffer_close(&other);
+    bool same = found != NULL && found->expires_ms == turn->expires_ms && turn_chain_text(left, turn, &left_text) &&
+                turn_chain_text(right, found, &right_text) && left_text.length == right_text.length &&
+                memcmp(left_text.data, right_text.data, left_text.length) == 0;
+    buffer_close(&left_text);
+    buffer_close(&right_text);
     return same;
 }
 
@@ -352,42 +353,42 @@
     script_print("%s: %u turns\n", same ? "same" : "b differs", HASH_COUNT(b->turns.turns));
 }
 
-static void tell_files(void)
+static void print_files(void)
 {
-    const struct history_store *texts = &hosts[1].texts;
+    const struct history_store *history = &hosts[1].history;
     script_print("%s\n",
-                 texts->segment_count > 0 && texts->segments[0].number > 1 ? "first ones are gone" : "all kept");
+                 history->segment_count > 0 && history->segments[0].number > 1 ? "oldest deleted" : "none deleted");
 }
 
-static void tell_log(void)
+static void print_log(void)
 {
-    size_t held = hosts[1].replica.groups[0].raft.log.bytes;
-    script_print("log %s its share\n", held <= log_bytes                    ? "below"
-                                       : held <= 2 * log_bytes + ENTRY_MOST ? "above"
-                                                                            : "beyond twice");
+    size_t log_size = hosts[1].replica.groups[0].raft.log.bytes;
+    script_print("log %s its share\n", log_size <= log_bytes                         ? "within"
+                                       : log_size <= 2 * log_bytes + MAX_ENTRY_BYTES ? "above"
+                                                                                     : "above twice");
 }
 
 static void restart_all(const script_command_t *command)
 {
     for (int i = 1; i < HOSTS; i++) {
         end_host(&hosts[i]);
-        lose_host(&hosts[i]);
+        delete_files(&hosts[i]);
     }
     while (frames != NULL) {
         deliver_first();
     }
     log_bytes = script_number(command, 1, 0) << 10;
     state_bytes = script_number(command, 2, 0) << 10;
-    three = script_is(command, 3, "three");
+    three_voters = script_is(command, 3, "three");
     turns_sent = 0;
     for (int i = 1; i < HOSTS; i++) {
-        hosts[i].full = false;
-        if (i == 1 || three) {
+        hosts[i].disk_full = false;
+        if (i == 1 || three_voters) {
             start_host(&hosts[i]);
         }
     }
-    run(three ? ELECTION_STEPS : SETTLE_STEPS, UINT32_MAX);
-    for (int i = 0; three && leader_id() != 1 && i < HOSTS; i++) {
+    run(three_voters ? ELECTION_STEPS : SETTLE_STEPS, UINT32_MAX);
+    for (int i = 0; three_voters && leader_id() != 1 && i < HOSTS; i++) {
         raft_transfer(&hosts[leader_id()].replica.groups[0].raft, now_ms, 1);
         run(ELECTION_STEPS, UINT32_MAX);
     }
@@ -401,21 +402,21 @@
         start_host(host_named(command));
     } else if (script_is(command, 0, "kill")) {
         end_host(host_named(command));
-    } else if (script_is(command, 0, "lose")) {
-        lose_host(host_named(command));
+    } else if (script_is(command, 0, "delete-files")) {
+        delete_files(host_named(command));
     } else if (script_is(command, 0, "store")) {
         store_turns(script_number(command, 1, 0), (size_t)script_number(command, 2, 0));
-    } else if (script_is(command, 0, "pour")) {
+    } else if (script_is(command, 0, "store-async")) {
         send_turns(script_number(command, 1, 0), (size_t)script_number(command, 2, 0));
-    } else if (script_is(command, 0, "full")) {
-        host_named(command)->full = true;
-    } else if (script_is(command, 0, "refuse")) {
-        host_named(command)->refuses = true;
-    } else if (script_is(command, 0, "room")) {
-        host_named(command)->full = false;
-        host_named(command)->refuses = false;
+    } else if (script_is(command, 0, "disk-full")) {
+        host_named(command)->disk_full = true;
+    } else if (script_is(command, 0, "refuse-snapshots")) {
+        host_named(command)->refuses_snapshots = true;
+    } else if (script_is(command, 0, "disk-ok")) {
+        host_named(command)->disk_full = false;
+        host_named(command)->refuses_snapshots = false;
     } else if (script_is(command, 0, "leader")) {
-        tell_leader();
+        print_leader();
     } else if (script_is(command, 0, "begin")) {
         begin_turns(script_number(command, 1, 0));
     } else if (script_is(command, 0, "run")) {
@@ -423,15 +424,15 @@
     } else if (script_is(command, 0, "chunks")) {
         chunks = 0;
         run(1000, (uint32_t)script_number(command, 1, 0));
-        script_print("%u came\n", chunks);
+        script_print("%u received\n", chunks);
     } else if (script_is(command, 0, "wait")) {
         run(script_number(command, 1, 0) / STEP_MS, UINT32_MAX);
     } else if (script_is(command, 0, "compare")) {
         compare();
     } else if (script_is(command, 0, "files")) {
-        tell_files();
+        print_files();
     } else if (script_is(command, 0, "log")) {
-        tell_log();
+        print_log();
     } else {
         script_print("unknown command\n");
     }
@@ -444,13 +445,13 @@
         return EXIT_FAILURE;
     }
     now_ms = 1000;
-    snprintf(hosts[1].folder, sizeof(hosts[1].folder), "%.60s/a", root);
-    snprintf(hosts[2].folder, sizeof(hosts[2].folder), "%.60s/b", root);
-    snprintf(hosts[3].folder, sizeof(hosts[3].folder), "%.60s/c", root);
+    snprintf(hosts[1].directory, sizeof(hosts[1].directory), "%.60s/a", root);
+    snprintf(hosts[2].directory, sizeof(hosts[2].directory), "%.60s/b", root);
+    snprintf(hosts[3].directory, sizeof(hosts[3].directory), "%.60s/c", root);
     int status = script_main(argv[1], run_command);
     for (int i = 1; i < HOSTS; i++) {
         end_host(&hosts[i]);
-        lose_host(&hosts[i]);
+        delete_files(&hosts[i]);
     }
     while (frames != NULL) {
         deliver_first();
--- a/tests/scripted/script.c
+++ b/tests/scripted/script.c
@@ -9,8 +9,8 @@
 
 enum { SCRIPT_LINE_MAX = 1024, SCRIPT_NUMBER_MAX = 24 };
 
-static struct buffer script_output;   /* of the current command */
-static struct buffer script_expected; /* below the current command */
+static struct buffer script_output;   /* output of the current command */
+static struct buffer script_expected; /* expected output of the current command */
 
 void script_print(const char *format, ...)
 {
@@ -58,7 +58,7 @@
     }
 }
 
-/* Compares the output of the command at `line` with what was expected; returns whether they differ. */
+/* Returns 1 if the output of the command at `line` differs from the expected output. */
 static int script_check(const char *path, int line)
 {
     struct view expected = buffer_view(&script_expected);
@@ -79,16 +79,16 @@
     FILE *file = fopen(path, "r");
     char text[SCRIPT_LINE_MAX];
     char current[SCRIPT_LINE_MAX] = "";
-    int number = 0;
-    int begun = 0;
+    int line_number = 0;
+    int command_line = 0;
     int commands = 0;
     int differences = 0;
     if (file == NULL) {
-        printf("%s cannot be read\n", path);
+        printf("cannot read %s\n", path);
         return EXIT_FAILURE;
     }
     while (fgets(text, sizeof(text), file) != NULL) {
-        number++;
+        line_number++;
         text[strcspn(text, "\n")] = '\0';
         if (text[0] == '#' || text[0] == '\0') {
             continue;
@@ -98,15 +98,15 @@
             buffer_append_text(&script_expected, "\n");
             continue;
         }
-        differences += begun > 0 ? script_check(path, begun) : 0;
-        begun = number;
+        differences += command_line > 0 ? script_check(path, command_line) : 0;
+        command_line = line_number;
         commands++;
         memcpy(current, text, sizeof(current));
         script_command_t command;
         script_split(current + 1, &command);
         run(&command);
     }
-    differences += begun > 0 ? script_check(path, begun) : 0;
+    differences += command_line > 0 ? script_check(path, command_line) : 0;
     fclose(file);
     buffer_close(&script_expected);
     buffer_close(&script_output);
--- a/tests/scripted/server_list.h
+++ b/tests/scripted/server_fixture.h
@@ -1,23 +1,23 @@
 /**
- * @file server_list.h
- * A table of servers for scripted runs.
+ * @file server_fixture.h
+ * Fixture of the scripted tests: a server table.
  */
-#ifndef BANKBANK_TESTS_SERVER_LIST_H
-#define BANKBANK_TESTS_SERVER_LIST_H
+#ifndef BANKBANK_TESTS_SERVER_FIXTURE_H
+#define BANKBANK_TESTS_SERVER_FIXTURE_H
 
 #include <stdio.h>
 #include <string.h>
 
 #include "core/server_table.h"
 
-enum { SERVER_LIST_MAX = 16, SERVER_LIST_NAME_MAX = 32 };
+enum { SERVER_FIXTURE_MAX = 16, SERVER_FIXTURE_NAME_MAX = 32 };
 
-/** Begins a table with `count` servers, named s1, s2, ..., of one service ("service") and zone ("zone"). */
-static inline void server_list_start(struct server_table *servers, uint64_t count, uint64_t slots)
+/** Resets a table to `count` servers s1, s2, ... in the service "service" and the zone "zone". */
+static inline void server_fixture_start(struct server_table *servers, uint64_t count, uint64_t slots)
 {
-    char names[SERVER_LIST_MAX][SERVER_LIST_NAME_MAX];
-    ServerRecord records[SERVER_LIST_MAX];
-    uint64_t used = count < SERVER_LIST_MAX ? count : SERVER_LIST_MAX;
+    char names[SERVER_FIXTURE_MAX][SERVER_FIXTURE_NAME_MAX];
+    ServerRecord records[SERVER_FIXTURE_MAX];
+    uint64_t used = count < SERVER_FIXTURE_MAX ? count : SERVER_FIXTURE_MAX;
     server_table_close(servers);
     memset(servers, 0, sizeof(*servers));
     memset(records, 0, sizeof(records));
--- /dev/null
+++ b/tests/soak/caller_connection.h
@@ -0,0 +1,28 @@
+/**
+ * @file caller_connection.h
+ * A caller's persistent HTTP connection to a gateway.
+ */
+#ifndef BANKBANK_TESTS_CALLER_CONNECTION_H
+#define BANKBANK_TESTS_CALLER_CONNECTION_H
+
+#include <stdbool.h>
+
+#include "../integration/site.h"
+
+/** A connection; closed if all zero. */
+typedef struct caller_connection_t {
+    bool open;
+    int fd;
+} caller_connection_t;
+
+/** Connects, or reuses an idle open connection; false if the connection is refused. */
+bool caller_connection_open(caller_connection_t *connection, int gateway);
+
+/** Sends a request and reads the answer; the caller must close `response`. Closes the connection unless both sides
+ * keep it alive. */
+void caller_connection_exchange(caller_connection_t *connection, struct view request, bool keep_alive,
+                                struct site_response *response);
+
+void caller_connection_close(caller_connection_t *connection);
+
+#endif
--- a/tests/soak/callers.c
+++ b/tests/soak/callers.c
@@ -11,9 +11,9 @@
 #include "routes.h"
 
 enum {
-    CALLERS = 10,    /* threads with requests */
-    OPERATORS = 2,   /* threads with configurations */
-    PAUSE_US = 25000 /* most time between two requests */
+    CALLERS = 10,
+    OPERATORS = 2,
+    MAX_PAUSE_US = 25000 /* between two requests */
 };
 
 static pthread_t threads[CALLERS + OPERATORS];
@@ -26,15 +26,15 @@
     caller_t *caller = argument;
     while (!atomic_load(&stopping)) {
         switch (random_below(&caller->seed, 8)) {
-        case 0: calls_once(caller); break;
-        case 1: calls_safe(caller); break;
-        case 2: calls_open(caller); break;
+        case 0: calls_send_once(caller); break;
+        case 1: calls_send_safe(caller); break;
+        case 2: calls_send_stream(caller); break;
         case 3:
         case 4:
-        case 5: calls_added(caller); break;
+        case 5: calls_send_added_route(caller); break;
         default: programs_run(caller, &stopping); break;
         }
-        clock_sleep_us(random_below(&caller->seed, PAUSE_US));
+        clock_sleep_us(random_below(&caller->seed, MAX_PAUSE_US));
     }
     return NULL;
 }
@@ -42,16 +42,16 @@
 static void *run_operator(void *argument)
 {
     while (!atomic_load(&stopping)) {
-        operators_act(argument);
+        operators_step(argument);
     }
     return NULL;
 }
 
 void callers_start(uint64_t seed)
 {
-    routes_open();
+    routes_init();
     for (int i = 0; i < CALLERS; i++) {
-        callers[i] = (caller_t){.number = i, .seed = seed * 1000 + (uint64_t)i, .keeps = i % 2 == 0};
+        callers[i] = (caller_t){.number = i, .seed = seed * 1000 + (uint64_t)i, .keep_alive = i % 2 == 0};
         pthread_create(&threads[i], NULL, run_caller, &callers[i]);
     }
     for (int i = 0; i < OPERATORS; i++) {
@@ -66,21 +66,21 @@
     for (int i = 0; i < CALLERS + OPERATORS; i++) {
         pthread_join(threads[i], NULL);
     }
-    programs_go_on(&callers[0]);
+    programs_resume(&callers[0]);
     for (int i = 0; i < CALLERS; i++) {
         calls_close(&callers[i]);
     }
 }
 
-callers_sum_t callers_sum(void)
+callers_counters_t callers_counters(void)
 {
-    calls_sum_t sum = calls_sum();
-    return (callers_sum_t){
+    calls_counters_t sum = calls_counters();
+    return (callers_counters_t){
         .calls = sum.calls,
-        .kept = sum.kept,
+        .reused = sum.reused,
         .served = sum.served,
         .refused = sum.refused,
         .turns = programs_turns(),
-        .configurations = routes_count(),
+        .configurations = routes_acknowledged_count(),
     };
 }
--- a/tests/soak/callers.h
+++ b/tests/soak/callers.h
@@ -1,32 +1,28 @@
 /**
  * @file callers.h
- * Callers and operators of the soak, in threads: requests that may not be
- * repeated, streams, routes that configurations add, programs of turns within a
- * budget, configurations. They tell the oracle what they were promised. Every
- * second caller keeps its connections open.
+ * Caller and operator threads of the soak. Callers send the requests of calls.h
+ * and the programs of programs.h; every second one keeps its connections alive.
  */
 #ifndef BANKBANK_TESTS_CALLERS_H
 #define BANKBANK_TESTS_CALLERS_H
 
 #include <stdint.h>
 
-/** What callers have seen so far. */
-typedef struct callers_sum_t {
+/** Totals over all callers and operators. */
+typedef struct callers_counters_t {
     uint64_t calls;          /**< Requests sent. */
-    uint64_t kept;           /**< Of these on a connection that carried one before. */
-    uint64_t served;         /**< Whole successes. */
-    uint64_t refused;        /**< Refused as not run. */
+    uint64_t reused;         /**< Requests sent on a connection used before. */
+    uint64_t served;         /**< Complete answers with status 200. */
+    uint64_t refused;        /**< Refusals marked as not run. */
     uint64_t turns;          /**< Turns acknowledged. */
     uint64_t configurations; /**< Configurations acknowledged. */
-} callers_sum_t;
+} callers_counters_t;
 
-/** Starts them. */
 void callers_start(uint64_t seed);
 
-/** Ends them, and goes on once from the last turn of programs that were whole. */
+/** Stops all threads, then runs one more turn of each recorded program to check that its last turn was stored. */
 void callers_stop(void);
 
-/** What they have seen. */
-callers_sum_t callers_sum(void);
+callers_counters_t callers_counters(void);
 
 #endif
--- a/tests/soak/calls.c
+++ b/tests/soak/calls.c
@@ -10,193 +10,202 @@
 #include "routes.h"
 
 enum {
-    CALLS_LEAST_MS = 300, /* least time of a caller, and what may be added */
-    CALLS_MORE_MS = 2600,
-    CALLS_SAFE_SERVERS = 2, /* as the site's configuration says */
-    CALLS_ID = 48
+    CALLS_MIN_TIMEOUT_MS = 300, /* plus up to CALLS_EXTRA_TIMEOUT_MS */
+    CALLS_EXTRA_TIMEOUT_MS = 2600,
+    CALLS_SAFE_MAX_SERVERS = 2, /* must match the site's configuration */
+    CALLS_ID_BYTES = 48
 };
 
 static atomic_ullong calls_count;
-static atomic_ullong calls_kept;
+static atomic_ullong calls_reused;
 static atomic_ullong calls_served;
 static atomic_ullong calls_refused;
 
-void calls_next_id(char *out, size_t size, const caller_t *caller, const char *kind)
+void calls_next_id(char *out, size_t size, const caller_t *caller, const char *prefix)
 {
     static atomic_ullong number;
-    snprintf(out, size, "%s%d-%llu", kind, caller->number, (unsigned long long)atomic_fetch_add(&number, 1));
+    snprintf(out, size, "%s%d-%llu", prefix, caller->number, (unsigned long long)atomic_fetch_add(&number, 1));
 }
 
 /* ---- One request --------------------------------------------------------------- */
 
-/* Notes what an answer promises beside its content. */
-static void calls_note(const char *id, const struct site_answer *answer)
+static void calls_record_answer(const char *id, const struct site_response *response)
 {
     atomic_fetch_add(&calls_count, 1);
     struct buffer head = {0};
-    buffer_append(&head, answer->head.data, answer->head.length);
+    buffer_append(&head, response->head.data, response->head.length);
     bool not_run = strstr(buffer_text(&head), "X-Run-State: not-run") != NULL;
     buffer_close(&head);
-    if (answer->status == 200 && answer->whole) {
+    if (response->status == 200 && response->complete) {
         atomic_fetch_add(&calls_served, 1);
     }
-    if (not_run && answer->status != 200) {
+    if (not_run && response->status != 200) {
         atomic_fetch_add(&calls_refused, 1);
-        oracle_not_run(id);
+        oracle_record_not_run(id);
     }
 }
 
-static bool calls_planned_alone(uint64_t from_ms, uint64_t to_ms)
+static bool calls_only_planned_operations(uint64_t from_ms, uint64_t to_ms)
 {
     int stopping = 0;
-    for (int i = 0; i < daemons_states(); i++) {
-        stopping += lives_touched(site_state_daemon(i), LIVES_STOPPING, from_ms, to_ms) ? 1 : 0;
+    for (int i = 0; i < daemons_replicas(); i++) {
+        stopping += fault_log_overlaps(site_replica_daemon(i), FAULT_LOG_STOPPING, from_ms, to_ms) ? 1 : 0;
     }
-    return stopping <= 1 && !lives_any_touched(daemons_count(), LIVES_UNPLANNED, from_ms, to_ms);
+    return stopping <= 1 && !fault_log_any_overlaps(daemons_count(), FAULT_LOG_UNPLANNED, from_ms, to_ms);
 }
 
-static void calls_judge_end(const call_t *call, const struct site_answer *answer, uint64_t sent_ms)
+static void calls_check_incomplete(const call_t *call, const struct site_response *response, uint64_t sent_ms)
 {
     uint64_t now_ms = clock_monotonic_ms();
     int daemon = site_gateway_daemon(call->gateway);
-    int runs = oracle_runs(call->id);
-    if (now_ms >= sent_ms + call->time_ms || answer->whole) {
+    int runs = oracle_run_count(call->id);
+    if (now_ms >= sent_ms + call->timeout_ms || response->complete) {
         return;
     }
-    if (answer->status == 0 && runs > 0 && !lives_touched(daemon, LIVES_DOWN, sent_ms, now_ms)) {
-        oracle_violated("unanswered: %s, begun %d times, ends after %llu of %u ms without an answer of daemon %d",
-                        call->id, runs, (unsigned long long)(now_ms - sent_ms), call->time_ms, daemon);
-    } else if (answer->status != 0 && calls_planned_alone(sent_ms - CALLS_CONTACT_MS, now_ms)) {
-        oracle_violated("cut: %s, begun %d times, ends after %llu of %u ms inside its answer %d of daemon %d", call->id,
-                        runs, (unsigned long long)(now_ms - sent_ms), call->time_ms, answer->status, daemon);
+    if (response->status == 0 && runs > 0 && !fault_log_overlaps(daemon, FAULT_LOG_DOWN, sent_ms, now_ms)) {
+        oracle_report_violation(
+            "unanswered: %s, started %d times, ended after %llu of %u ms without a response from daemon %d", call->id,
+            runs, (unsigned long long)(now_ms - sent_ms), call->timeout_ms, daemon);
+    } else if (response->status != 0 && calls_only_planned_operations(sent_ms - CALLS_RECOVERY_MS, now_ms)) {
+        oracle_report_violation("cut: %s, started %d times, truncated after %llu of %u ms: status %d from daemon %d",
+                                call->id, runs, (unsigned long long)(now_ms - sent_ms), call->timeout_ms,
+                                response->status, daemon);
     }
 }
 
-void calls_make(caller_t *caller, const call_t *call, struct site_answer *answer)
+void calls_send(caller_t *caller, const call_t *call, struct site_response *response)
 {
-    line_t *line = &caller->lines[call->gateway];
+    caller_connection_t *connection = &caller->connections[call->gateway];
     struct buffer request = {0};
-    oracle_wish_t wish = call->wish;
-    bool before = line->open;
-    memset(answer, 0, sizeof(*answer));
+    oracle_expectation_t expectation = call->expectation;
+    bool reused = connection->open;
+    memset(response, 0, sizeof(*response));
     buffer_printf(&request,
                   "POST %s HTTP/1.1\r\nHost: app.example\r\nBankbank-Request-Id: %s\r\n%sBankbank-Deadline-Ms: %u\r\n"
                   "%sContent-Length: %zu\r\n\r\n",
-                  call->path, call->id, caller->keeps ? "" : "Connection: close\r\n", call->time_ms, call->lines,
-                  strlen(call->body));
+                  call->path, call->id, caller->keep_alive ? "" : "Connection: close\r\n", call->timeout_ms,
+                  call->headers, strlen(call->body));
     buffer_append_text(&request, call->body);
-    if (line_open(line, call->gateway)) {
-        atomic_fetch_add(&calls_kept, before ? 1 : 0);
+    if (caller_connection_open(connection, call->gateway)) {
+        atomic_fetch_add(&calls_reused, reused ? 1 : 0);
         uint64_t sent_ms = clock_monotonic_ms();
-        wish.end_ms = sent_ms + call->time_ms;
-        oracle_expect(call->id, &wish);
-        line_exchange(line, buffer_view(&request), caller->keeps, answer);
-        calls_judge_end(call, answer, sent_ms);
+        expectation.deadline_ms = sent_ms + call->timeout_ms;
+        oracle_expect(call->id, &expectation);
+        caller_connection_exchange(connection, buffer_view(&request), caller->keep_alive, response);
+        calls_check_incomplete(call, response, sent_ms);
     }
-    calls_note(call->id, answer);
+    calls_record_answer(call->id, response);
     buffer_close(&request);
 }
 
 void calls_close(caller_t *caller)
 {
-    for (int i = 0; i < LIVES_MOST; i++) {
-        line_close(&caller->lines[i]);
+    for (int i = 0; i < FAULT_LOG_MAX_DAEMONS; i++) {
+        caller_connection_close(&caller->connections[i]);
     }
 }
 
-calls_sum_t calls_sum(void)
+calls_counters_t calls_counters(void)
 {
-    return (calls_sum_t){
+    return (calls_counters_t){
         .calls = atomic_load(&calls_count),
-        .kept = atomic_load(&calls_kept),
+        .reused = atomic_load(&calls_reused),
         .served = atomic_load(&calls_served),
         .refused = atomic_load(&calls_refused),
     };
 }
 
-/* ---- Requests that stand alone ---------------------------------------------------- */
+/* ---- Single requests ---------------------------------------------------- */
 
-static int calls_gateway(caller_t *caller)
+static int calls_pick_gateway(caller_t *caller)
 {
     return (int)random_below(&caller->seed, (uint32_t)daemons_gateways());
 }
 
-static uint32_t calls_time(caller_t *caller)
+static uint32_t calls_pick_timeout_ms(caller_t *caller)
 {
-    return CALLS_LEAST_MS + random_below(&caller->seed, CALLS_MORE_MS);
+    return CALLS_MIN_TIMEOUT_MS + random_below(&caller->seed, CALLS_EXTRA_TIMEOUT_MS);
 }
 
-/* Sends it with its id as its body; returns the status. */
-static int calls_plain(caller_t *caller, call_t *call)
+/* Sends a request whose body is its id, and checks that the answer echoes it; returns the status. */
+static int calls_send_echo(caller_t *caller, call_t *call)
 {
-    struct site_answer answer;
+    struct site_response response;
     call->body = call->id;
-    call->lines = "";
-    call->time_ms = calls_time(caller);
-    calls_make(caller, call, &answer);
-    if (answer.status == 200 && answer.whole && strcmp(buffer_text(&answer.body), call->id) != 0) {
-        oracle_violated("mixed: %s gets the answer '%.40s'", call->id, buffer_text(&answer.body));
+    call->headers = "";
+    call->timeout_ms = calls_pick_timeout_ms(caller);
+    calls_send(caller, call, &response);
+    if (response.status == 200 && response.complete && strcmp(buffer_text(&response.body), call->id) != 0) {
+        oracle_report_violation("mixed: %s received the response '%.40s'", call->id, buffer_text(&response.body));
     }
-    int status = answer.status;
-    site_answer_close(&answer);
+    int status = response.status;
+    site_response_close(&response);
     return status;
 }
 
-void calls_once(caller_t *caller)
+void calls_send_once(caller_t *caller)
 {
-    char id[CALLS_ID];
+    char id[CALLS_ID_BYTES];
     calls_next_id(id, sizeof(id), caller, "o");
-    call_t call = {.id = id, .path = "/once/x", .wish = {.once = true, .servers = 1}, .gateway = calls_gateway(caller)};
-    calls_plain(caller, &call);
+    call_t call = {.id = id,
+                   .path = "/once/x",
+                   .expectation = {.at_most_once = true, .max_servers = 1},
+                   .gateway = calls_pick_gateway(caller)};
+    calls_send_echo(caller, &call);
 }
 
-void calls_safe(caller_t *caller)
+void calls_send_safe(caller_t *caller)
 {
-    char id[CALLS_ID];
+    char id[CALLS_ID_BYTES];
     calls_next_id(id, sizeof(id), caller, "s");
-    call_t call = {
-        .id = id, .path = "/safe/x", .wish = {.servers = CALLS_SAFE_SERVERS}, .gateway = calls_gateway(caller)};
-    calls_plain(caller, &call);
+    call_t call = {.id = id,
+                   .path = "/safe/x",
+                   .expectation = {.max_servers = CALLS_SAFE_MAX_SERVERS},
+                   .gateway = calls_pick_gateway(caller)};
+    calls_send_echo(caller, &call);
 }
 
-void calls_added(caller_t *caller)
+void calls_send_added_route(caller_t *caller)
 {
-    char id[CALLS_ID];
-    char path[CALLS_ID];
-    routes_asked_t asked;
-    int gateway = calls_gateway(caller);
-    if (!routes_choose(&caller->seed, site_gateway_daemon(gateway), &asked)) {
+    char id[CALLS_ID_BYTES];
+    char path[CALLS_ID_BYTES];
+    routes_request_t route_request;
+    int gateway = calls_pick_gateway(caller);
+    if (!routes_choose(&caller->seed, site_gateway_daemon(gateway), &route_request)) {
         return;
     }
     calls_next_id(id, sizeof(id), caller, "v");
-    snprintf(path, sizeof(path), "/v%llu/x", (unsigned long long)asked.version);
-    call_t call = {.id = id, .path = path, .wish = {.servers = routes_servers(asked.version)}, .gateway = gateway};
-    routes_judge(&asked, calls_plain(caller, &call));
+    snprintf(path, sizeof(path), "/v%llu/x", (unsigned long long)route_request.version);
+    call_t call = {.id = id,
+                   .path = path,
+                   .expectation = {.max_servers = routes_max_servers(route_request.version)},
+                   .gateway = gateway};
+    routes_check_status(&route_request, calls_send_echo(caller, &call));
 }
 
 void calls_check_events(const char *id, struct buffer *body)
 {
     struct buffer expected = {0};
-    for (int i = 1; i <= CALLS_EVENTS; i++) {
+    for (int i = 1; i <= CALLS_STREAM_EVENTS; i++) {
         buffer_printf(&expected, "id: %d\ndata: %s-%d\n\n", i, id, i);
     }
     if (strcmp(buffer_text(body), buffer_text(&expected)) != 0) {
-        oracle_violated("mixed: %s gets the stream '%.80s'", id, buffer_text(body));
+        oracle_report_violation("mixed: %s received the stream '%.80s'", id, buffer_text(body));
     }
     buffer_close(&expected);
 }
 
-void calls_open(caller_t *caller)
+void calls_send_stream(caller_t *caller)
 {
-    char id[CALLS_ID];
-    struct site_answer answer;
+    char id[CALLS_ID_BYTES];
+    struct site_response response;
     calls_next_id(id, sizeof(id), caller, "e");
-    call_t call = {.id = id, .path = "/open/chat/x", .lines = "", .body = id, .wish = {.servers = 1}};
-    call.gateway = calls_gateway(caller);
-    call.time_ms = calls_time(caller);
-    calls_make(caller, &call, &answer);
-    if (answer.status == 200 && answer.whole) {
-        calls_check_events(id, &answer.body);
+    call_t call = {.id = id, .path = "/open/chat/x", .headers = "", .body = id, .expectation = {.max_servers = 1}};
+    call.gateway = calls_pick_gateway(caller);
+    call.timeout_ms = calls_pick_timeout_ms(caller);
+    calls_send(caller, &call, &response);
+    if (response.status == 200 && response.complete) {
+        calls_check_events(id, &response.body);
     }
-    site_answer_close(&answer);
+    site_response_close(&response);
 }
--- a/tests/soak/calls.h
+++ b/tests/soak/calls.h
@@ -1,13 +1,13 @@
 /**
  * @file calls.h
- * One caller of the soak: its seed, its connections, and its requests. Each
- * request tells its time, and its end is judged by what was done meanwhile:
+ * Requests of a soak caller. Each carries a deadline. An incomplete answer that
+ * ends before the deadline is a violation in two cases:
  *
- *   unanswered  the connection ends without an answer in the caller's time, a
- *               server had begun the request, and its gateway was not killed
- *   cut         an answer ends before it is whole in the caller's time, while
- *               nothing unplanned was done to anyone from CALLS_CONTACT_MS before
- *               the request, and one state replica at most was asked to stop
+ *   unanswered  the connection closed without an answer, a server had started
+ *               the request, and the gateway was not killed
+ *   cut         the answer was truncated, no unplanned fault was active since
+ *               CALLS_RECOVERY_MS before the request, and at most one state
+ *               replica was stopping
  */
 #ifndef BANKBANK_TESTS_CALLS_H
 #define BANKBANK_TESTS_CALLS_H
@@ -16,61 +16,60 @@
 #include <stdint.h>
 
 #include "../integration/site.h"
-#include "line.h"
-#include "lives.h"
+#include "caller_connection.h"
+#include "fault_log.h"
 #include "oracle.h"
 
 enum {
-    CALLS_CONTACT_MS = 2500, /**< What was done so long before a request may still show. */
-    CALLS_EVENTS = 3         /**< Events of a whole stream. */
+    CALLS_RECOVERY_MS = 2500, /**< How long a fault may still affect later requests. */
+    CALLS_STREAM_EVENTS = 3   /**< Number of events of a complete stream. */
 };
 
-/** A caller. */
+/** A caller; used by one thread. */
 typedef struct caller_t {
     int number;
     uint64_t seed;
-    bool keeps;               /**< Keeps its connections open. */
-    line_t lines[LIVES_MOST]; /**< To each gateway. */
+    bool keep_alive;
+    caller_connection_t connections[FAULT_LOG_MAX_DAEMONS]; /**< Indexed by gateway. */
 } caller_t;
 
-/** A request. */
 typedef struct call_t {
     const char *id;
     const char *path;
-    const char *lines; /**< Header lines, each with CRLF, or "". */
+    const char *headers; /**< Header lines, each with CRLF, or "". */
     const char *body;
-    oracle_wish_t wish; /**< Without its end. */
-    uint32_t time_ms;   /**< The caller's time. */
+    oracle_expectation_t expectation; /**< deadline_ms is set by calls_send. */
+    uint32_t timeout_ms;              /**< Time from sending to the caller's deadline. */
     int gateway;
 } call_t;
 
-/** What callers have seen so far. */
-typedef struct calls_sum_t {
+/** Totals over all callers. */
+typedef struct calls_counters_t {
     uint64_t calls;   /**< Requests sent. */
-    uint64_t kept;    /**< Of these on a connection that carried one before. */
-    uint64_t served;  /**< Whole successes. */
-    uint64_t refused; /**< Refused as not run. */
-} calls_sum_t;
+    uint64_t reused;  /**< Requests sent on a connection used before. */
+    uint64_t served;  /**< Complete answers with status 200. */
+    uint64_t refused; /**< Refusals marked as not run. */
+} calls_counters_t;
 
-/** An id of its own. */
-void calls_next_id(char *out, size_t size, const caller_t *caller, const char *kind);
+/** Writes a unique request or program id. */
+void calls_next_id(char *out, size_t size, const caller_t *caller, const char *prefix);
 
-/** Sends a request and reads its answer; tells the oracle what it promises. */
-void calls_make(caller_t *caller, const call_t *call, struct site_answer *answer);
+/** Records a request in the oracle, sends it, reads its answer, and checks an incomplete one as described above. The
+ * caller closes `response`. */
+void calls_send(caller_t *caller, const call_t *call, struct site_response *response);
 
-/** Requests that stand alone: one that may not be repeated, one that may, a stream that may be resumed, and one for
- * a route that a configuration added. */
-void calls_once(caller_t *caller);
-void calls_safe(caller_t *caller);
-void calls_open(caller_t *caller);
-void calls_added(caller_t *caller);
+/** Send a request that must not be retried, one that may be, one for a resumable stream, and one for a route that a
+ * configuration added. */
+void calls_send_once(caller_t *caller);
+void calls_send_safe(caller_t *caller);
+void calls_send_stream(caller_t *caller);
+void calls_send_added_route(caller_t *caller);
 
-/** Says so if an answer is not the stream of a request. */
+/** Reports a violation if `body` is not the expected stream of request `id`. */
 void calls_check_events(const char *id, struct buffer *body);
 
-/** Closes a caller's connections. */
 void calls_close(caller_t *caller);
 
-calls_sum_t calls_sum(void);
+calls_counters_t calls_counters(void);
 
 #endif
--- a/tests/soak/daemons.c
+++ b/tests/soak/daemons.c
@@ -6,31 +6,30 @@
 #include "../integration/site.h"
 #include "base/clock.h"
 #include "core/membership.h"
-#include "lives.h"
+#include "fault_log.h"
 #include "oracle.h"
 
-/* What goes on with a daemon. */
 typedef enum daemons_state_t {
-    DAEMON_RUNS,
+    DAEMON_RUNNING,
     DAEMON_DOWN,
-    DAEMON_STARTING, /* to be killed again */
-    DAEMON_FROZEN,
+    DAEMON_STARTING, /* to be killed during its start */
+    DAEMON_PAUSED,
     DAEMON_STARVED,
     DAEMON_STOPPING
 } daemons_state_t;
 
-typedef struct daemons_one_t {
+typedef struct daemon_entry_t {
     daemons_state_t state;
-    uint64_t until_ms; /* when that ends */
-    uint64_t full_until_ms;
-    int starts; /* that are killed */
-    uint64_t start_ms;
-} daemons_one_t;
-
-static daemons_one_t daemons[LIVES_MOST];
-static int daemons_state_count;
+    uint64_t until_ms;           /* end of the state, monotonic clock */
+    uint64_t disk_full_until_ms; /* 0: not full */
+    int starts_to_kill;          /* restarts still to be killed */
+    uint64_t start_kill_delay_ms;
+} daemon_entry_t;
+
+static daemon_entry_t daemons[FAULT_LOG_MAX_DAEMONS];
+static int daemons_replica_count;
 static int daemons_gateway_count;
-static uint64_t daemons_state_fault_ms;
+static uint64_t daemons_last_replica_fault_ms;
 static uint64_t daemons_step;
 
 static uint64_t now_ms(void)
@@ -38,24 +37,24 @@
     return clock_monotonic_ms();
 }
 
-void daemons_open(int states, int gateways)
+void daemons_init(int replicas, int gateways)
 {
-    daemons_state_count = states;
+    daemons_replica_count = replicas;
     daemons_gateway_count = gateways;
-    daemons_state_fault_ms = now_ms();
+    daemons_last_replica_fault_ms = now_ms();
     for (int i = 0; i < daemons_count(); i++) {
-        lives_start(i);
+        fault_log_process_started(i);
     }
 }
 
 int daemons_count(void)
 {
-    return daemons_state_count + daemons_gateway_count;
+    return daemons_replica_count + daemons_gateway_count;
 }
 
-int daemons_states(void)
+int daemons_replicas(void)
 {
-    return daemons_state_count;
+    return daemons_replica_count;
 }
 
 int daemons_gateways(void)
@@ -63,54 +62,53 @@
     return daemons_gateway_count;
 }
 
-bool daemons_is_state(int daemon)
+bool daemons_is_replica(int daemon)
 {
-    for (int i = 0; i < daemons_state_count; i++) {
-        if (site_state_daemon(i) == daemon) {
+    for (int i = 0; i < daemons_replica_count; i++) {
+        if (site_replica_daemon(i) == daemon) {
             return true;
         }
     }
     return false;
 }
 
-bool daemons_runs(int daemon)
+bool daemons_is_running(int daemon)
 {
-    return daemons[daemon].state == DAEMON_RUNS;
+    return daemons[daemon].state == DAEMON_RUNNING;
 }
 
-bool daemons_all_run(void)
+bool daemons_all_running(void)
 {
     for (int i = 0; i < daemons_count(); i++) {
-        if (!daemons_runs(i)) {
+        if (!daemons_is_running(i)) {
             return false;
         }
     }
     return true;
 }
 
-int daemons_states_away(void)
+int daemons_unavailable_replicas(void)
 {
-    int away = 0;
-    for (int i = 0; i < daemons_state_count; i++) {
-        away += daemons_runs(site_state_daemon(i)) ? 0 : 1;
+    int unavailable = 0;
+    for (int i = 0; i < daemons_replica_count; i++) {
+        unavailable += daemons_is_running(site_replica_daemon(i)) ? 0 : 1;
     }
-    return away;
+    return unavailable;
 }
 
-/* ---- What is under way ---------------------------------------------------------- */
+/* ---- Expiry of faults ---------------------------------------------------------- */
 
 static void daemons_start(int daemon)
 {
     site_start_daemon(daemon);
-    lives_start(daemon);
+    fault_log_process_started(daemon);
 }
 
-/* Nobody but this file ends a daemon. */
 static void daemons_check_running(int daemon)
 {
     int status = 0;
     if (waitpid(site_process(daemon), &status, WNOHANG) != 0) {
-        oracle_violated("ended: daemon %d ended by itself, status %x", daemon, (unsigned)status);
+        oracle_report_violation("ended: daemon %d exited unexpectedly, wait status %x", daemon, (unsigned)status);
         daemons_start(daemon);
     }
 }
@@ -120,185 +118,188 @@
     int status = 0;
     bool ended = waitpid(site_process(daemon), &status, WNOHANG) != 0;
     if (ended && !(WIFEXITED(status) && WEXITSTATUS(status) == 0)) {
-        oracle_violated("ended: daemon %d was asked to stop and ended with %x", daemon, (unsigned)status);
+        oracle_report_violation("ended: daemon %d failed to stop cleanly, wait status %x", daemon, (unsigned)status);
     }
     if (!ended && now_ms() >= daemons[daemon].until_ms) {
-        oracle_violated("ended: daemon %d was asked to stop and did not", daemon);
-        site_end_daemon(daemon, SIGKILL);
+        oracle_report_violation("ended: daemon %d did not exit within the stop timeout", daemon);
+        site_kill_daemon(daemon, SIGKILL);
         ended = true;
     }
     if (ended) {
         daemons_start(daemon);
-        lives_end(daemon, LIVES_STOPPING);
-        daemons[daemon].state = DAEMON_RUNS;
+        fault_log_end(daemon, FAULT_LOG_STOPPING);
+        daemons[daemon].state = DAEMON_RUNNING;
     }
 }
 
-static void daemons_come_up(int daemon)
+static void daemons_restart(int daemon)
 {
-    daemons_one_t *one = &daemons[daemon];
+    daemon_entry_t *entry = &daemons[daemon];
     daemons_start(daemon);
-    one->state = one->starts > 0 ? DAEMON_STARTING : DAEMON_RUNS;
-    one->until_ms = now_ms() + one->start_ms;
-    one->starts -= one->starts > 0 ? 1 : 0;
-    if (one->state == DAEMON_RUNS) {
-        lives_end(daemon, LIVES_DOWN);
+    entry->state = entry->starts_to_kill > 0 ? DAEMON_STARTING : DAEMON_RUNNING;
+    entry->until_ms = now_ms() + entry->start_kill_delay_ms;
+    entry->starts_to_kill -= entry->starts_to_kill > 0 ? 1 : 0;
+    if (entry->state == DAEMON_RUNNING) {
+        fault_log_end(daemon, FAULT_LOG_DOWN);
     }
 }
 
-static void daemons_wake(int daemon)
+static void daemons_resume(int daemon)
 {
     kill(site_process(daemon), SIGCONT);
-    lives_end(daemon, LIVES_STILL);
-    daemons[daemon].state = DAEMON_RUNS;
+    fault_log_end(daemon, FAULT_LOG_PAUSED);
+    daemons[daemon].state = DAEMON_RUNNING;
 }
 
-static void daemons_look_after_one(int daemon)
+static void daemons_poll_one(int daemon)
 {
-    daemons_one_t *one = &daemons[daemon];
-    bool over = now_ms() >= one->until_ms;
-    switch (one->state) {
-    case DAEMON_RUNS: daemons_check_running(daemon); break;
+    daemon_entry_t *entry = &daemons[daemon];
+    bool expired = now_ms() >= entry->until_ms;
+    switch (entry->state) {
+    case DAEMON_RUNNING: daemons_check_running(daemon); break;
     case DAEMON_DOWN:
-        if (over) {
-            daemons_come_up(daemon);
+        if (expired) {
+            daemons_restart(daemon);
         }
         break;
     case DAEMON_STARTING:
-        if (over) {
-            site_end_daemon(daemon, SIGKILL);
-            one->state = DAEMON_DOWN;
-            one->until_ms = now_ms() + DAEMONS_STEP_MS;
+        if (expired) {
+            site_kill_daemon(daemon, SIGKILL);
+            entry->state = DAEMON_DOWN;
+            entry->until_ms = now_ms() + DAEMONS_STEP_MS;
         }
         break;
-    case DAEMON_FROZEN:
-        if (over) {
-            daemons_wake(daemon);
+    case DAEMON_PAUSED:
+        if (expired) {
+            daemons_resume(daemon);
         }
         break;
     case DAEMON_STARVED:
-        if (over) {
-            daemons_wake(daemon);
+        if (expired) {
+            daemons_resume(daemon);
         } else {
-            kill(site_process(daemon), daemons_step % DAEMONS_STARVED_TURNS == 0 ? SIGCONT : SIGSTOP);
+            kill(site_process(daemon), daemons_step % DAEMONS_STARVED_STEPS == 0 ? SIGCONT : SIGSTOP);
         }
         break;
     case DAEMON_STOPPING: daemons_check_stop(daemon); break;
     }
-    if (one->full_until_ms != 0 && now_ms() >= one->full_until_ms) {
+    if (entry->disk_full_until_ms != 0 && now_ms() >= entry->disk_full_until_ms) {
         site_set_disk_full(daemon, false);
-        one->full_until_ms = 0;
-        lives_end(daemon, LIVES_DISK);
+        entry->disk_full_until_ms = 0;
+        fault_log_end(daemon, FAULT_LOG_DISK_FULL);
     }
-    if (daemons_is_state(daemon) && (one->state != DAEMON_RUNS || one->full_until_ms != 0)) {
-        daemons_state_fault_ms = now_ms();
+    if (daemons_is_replica(daemon) && (entry->state != DAEMON_RUNNING || entry->disk_full_until_ms != 0)) {
+        daemons_last_replica_fault_ms = now_ms();
     }
 }
 
-void daemons_look_after(void)
+void daemons_poll(void)
 {
     daemons_step++;
     for (int i = 0; i < daemons_count(); i++) {
-        daemons_look_after_one(i);
+        daemons_poll_one(i);
     }
 }
 
-/* ---- What is done ----------------------------------------------------------------- */
+/* ---- Injection of faults ----------------------------------------------------------------- */
 
-static bool daemons_take(int daemon, daemons_state_t state, lives_kind_t kind, uint64_t for_ms)
+static bool daemons_start_fault(int daemon, daemons_state_t state, fault_log_kind_t kind, uint64_t for_ms)
 {
-    if (!daemons_runs(daemon)) {
+    if (!daemons_is_running(daemon)) {
         return false;
     }
-    lives_begin(daemon, kind);
+    fault_log_begin(daemon, kind);
     daemons[daemon].state = state;
     daemons[daemon].until_ms = now_ms() + for_ms;
     return true;
 }
 
-void daemons_kill(int daemon, uint64_t down_ms, int starts, uint64_t start_ms)
+void daemons_kill(int daemon, uint64_t down_ms, int starts_to_kill, uint64_t start_kill_delay_ms)
 {
-    if (daemons_take(daemon, DAEMON_DOWN, LIVES_DOWN, down_ms)) {
-        site_end_daemon(daemon, SIGKILL);
-        daemons[daemon].starts = starts;
-        daemons[daemon].start_ms = start_ms;
+    if (daemons_start_fault(daemon, DAEMON_DOWN, FAULT_LOG_DOWN, down_ms)) {
+        site_kill_daemon(daemon, SIGKILL);
+        daemons[daemon].starts_to_kill = starts_to_kill;
+        daemons[daemon].start_kill_delay_ms = start_kill_delay_ms;
     }
 }
 
-void daemons_freeze(int daemon, uint64_t for_ms)
+void daemons_pause(int daemon, uint64_t for_ms)
 {
-    if (daemons_take(daemon, DAEMON_FROZEN, LIVES_STILL, for_ms)) {
+    if (daemons_start_fault(daemon, DAEMON_PAUSED, FAULT_LOG_PAUSED, for_ms)) {
         kill(site_process(daemon), SIGSTOP);
     }
 }
 
 void daemons_starve(int daemon, uint64_t for_ms)
 {
-    if (daemons_take(daemon, DAEMON_STARVED, LIVES_STILL, for_ms)) {
+    if (daemons_start_fault(daemon, DAEMON_STARVED, FAULT_LOG_PAUSED, for_ms)) {
         kill(site_process(daemon), SIGSTOP);
     }
 }
 
 void daemons_stop(int daemon)
 {
-    if (daemons_take(daemon, DAEMON_STOPPING, LIVES_STOPPING, DAEMONS_STOP_MS)) {
+    if (daemons_start_fault(daemon, DAEMON_STOPPING, FAULT_LOG_STOPPING, DAEMONS_STOP_TIMEOUT_MS)) {
         kill(site_process(daemon), SIGTERM);
     }
 }
 
 void daemons_reload(int daemon)
 {
-    if (daemons_runs(daemon)) {
+    if (daemons_is_running(daemon)) {
         kill(site_process(daemon), SIGHUP);
     }
 }
 
 void daemons_fill_disk(int daemon, uint64_t for_ms)
 {
-    if (daemons_runs(daemon) && daemons[daemon].full_until_ms == 0) {
-        lives_begin(daemon, LIVES_DISK);
+    if (daemons_is_running(daemon) && daemons[daemon].disk_full_until_ms == 0) {
+        fault_log_begin(daemon, FAULT_LOG_DISK_FULL);
         site_set_disk_full(daemon, true);
-        daemons[daemon].full_until_ms = now_ms() + for_ms;
+        daemons[daemon].disk_full_until_ms = now_ms() + for_ms;
     }
 }
 
-static double daemons_members(void)
+static double daemons_expected_members(void)
 {
-    int most = MEMBERSHIP_VOTERS_LARGE + MEMBERSHIP_SPARES;
-    return daemons_state_count < most ? daemons_state_count : most;
+    int max_members = MEMBERSHIP_VOTERS_LARGE + MEMBERSHIP_SPARES;
+    return daemons_replica_count < max_members ? daemons_replica_count : max_members;
 }
 
-/* The others have everything that was acknowledged: they were well for a while, and count as members. */
-static bool daemons_may_lose_disk(int daemon)
+/* The other replicas hold all acknowledged data once no replica had a fault for DAEMONS_DATA_LOSS_DELAY_MS, and each
+ * reports the full number of members. */
+static bool daemons_can_remove_data(int daemon)
 {
-    if (now_ms() < daemons_state_fault_ms + DAEMONS_CALM_MS) {
+    if (now_ms() < daemons_last_replica_fault_ms + DAEMONS_DATA_LOSS_DELAY_MS) {
         return false;
     }
-    for (int i = 0; i < daemons_state_count; i++) {
-        int other = site_state_daemon(i);
-        if (!daemons_runs(other) || (other != daemon && site_metric(other, "raft_members") != daemons_members())) {
+    for (int i = 0; i < daemons_replica_count; i++) {
+        int other = site_replica_daemon(i);
+        if (!daemons_is_running(other) ||
+            (other != daemon && site_metric(other, "raft_members") != daemons_expected_members())) {
             return false;
         }
     }
     return true;
 }
 
-bool daemons_lose_disk(int daemon, uint64_t down_ms)
+bool daemons_remove_data(int daemon, uint64_t down_ms)
 {
-    bool may = daemons_may_lose_disk(daemon);
-    if (may) {
+    bool allowed = daemons_can_remove_data(daemon);
+    if (allowed) {
         daemons_kill(daemon, down_ms, 0, 0);
-        site_lose_disk(daemon);
+        site_remove_data(daemon);
     }
-    return may;
+    return allowed;
 }
 
-bool daemons_are_whole(void)
+bool daemons_all_healthy(void)
 {
-    bool whole = daemons_all_run();
-    for (int i = 0; i < daemons_state_count && whole; i++) {
-        int state = site_state_daemon(i);
-        whole = daemons[state].full_until_ms == 0 && site_metric(state, "raft_members") == daemons_members();
+    bool healthy = daemons_all_running();
+    for (int i = 0; i < daemons_replica_count && healthy; i++) {
+        int replica = site_replica_daemon(i);
+        healthy = daemons[replica].disk_full_until_ms == 0 &&
+                  site_metric(replica, "raft_members") == daemons_expected_members();
     }
-    return whole;
+    return healthy;
 }
--- a/tests/soak/daemons.h
+++ b/tests/soak/daemons.h
@@ -1,10 +1,9 @@
 /**
  * @file daemons.h
- * The daemons of the soak, from outside: killed, stopped by a signal, starved
- * of processor time, asked to stop or to read their settings again, without
- * their disk or with a full one. Each of these ends by itself as long as
- * daemons_look_after is called every DAEMONS_STEP_MS; what was done and when
- * is told to lives.h. One thread.
+ * Injects faults into the soak's daemon processes and records them in the fault
+ * log. Every fault expires by itself as long as daemons_poll() is called every
+ * DAEMONS_STEP_MS. All functions but daemons_count(), daemons_replicas() and
+ * daemons_gateways() must be called from one thread.
  */
 #ifndef BANKBANK_TESTS_DAEMONS_H
 #define BANKBANK_TESTS_DAEMONS_H
@@ -14,51 +13,53 @@
 
 enum {
     DAEMONS_STEP_MS = 10,
-    DAEMONS_STARVED_TURNS = 10, /**< A starved daemon runs for one step of so many. */
-    DAEMONS_STOP_MS = 10000,    /**< A stop that was asked for is over by then. */
-    DAEMONS_CALM_MS = 3000      /**< A disk is lost only so long after the last fault of a state replica. */
+    DAEMONS_STARVED_STEPS = 10, /**< A starved daemon runs in one of this many steps. */
+    DAEMONS_STOP_TIMEOUT_MS = 10000,
+    DAEMONS_DATA_LOSS_DELAY_MS = 3000 /**< Minimum time from the last replica fault to the removal of data. */
 };
 
-/** Takes over the daemons that site_start_shape started. */
-void daemons_open(int states, int gateways);
+/** Takes over the daemons that site_start_sized started. Call once. */
+void daemons_init(int replicas, int gateways);
 
-/** Number of daemons, state replicas and gateways. */
+/** Numbers of daemons: all, state replicas, and gateways. */
 int daemons_count(void);
-int daemons_states(void);
+int daemons_replicas(void);
 int daemons_gateways(void);
 
-/** Whether a daemon is a state replica. */
-bool daemons_is_state(int daemon);
+bool daemons_is_replica(int daemon);
 
-/** Whether nothing is done to a daemon at the moment, and whether that is so of all. */
-bool daemons_runs(int daemon);
-bool daemons_all_run(void);
+/** Whether a daemon, or every daemon, is running without a process fault: a kill, pause, starvation or stop, but not a
+ * full disk. */
+bool daemons_is_running(int daemon);
+bool daemons_all_running(void);
 
-/** Number of state replicas that do not run as they should. */
-int daemons_states_away(void);
+/** Number of state replicas with a process fault. */
+int daemons_unavailable_replicas(void);
 
-/** Ends what is due, and sees that nobody else ended a daemon. */
-void daemons_look_after(void);
+/** Ends expired faults; reports a violation for a daemon that exited by itself, and restarts it. */
+void daemons_poll(void);
 
-/** Kills a daemon; it starts after `down_ms`. Each later start but the last one of `starts` is killed after
- * `start_ms`, before it is through. Does nothing to a daemon that does not run. */
-void daemons_kill(int daemon, uint64_t down_ms, int starts, uint64_t start_ms);
+/** Kills a daemon and restarts it after `down_ms`. The first `starts_to_kill` restarts are killed after
+ * `start_kill_delay_ms` each, to interrupt recovery. Does nothing if the daemon has a process fault. */
+void daemons_kill(int daemon, uint64_t down_ms, int starts_to_kill, uint64_t start_kill_delay_ms);
 
-/** Lets a daemon stand still, or run a tenth of the time. */
-void daemons_freeze(int daemon, uint64_t for_ms);
+/** Suspends a daemon (SIGSTOP) for the whole time, or for all but one in DAEMONS_STARVED_STEPS steps. */
+void daemons_pause(int daemon, uint64_t for_ms);
 void daemons_starve(int daemon, uint64_t for_ms);
 
-/** Asks a daemon to stop; it is started once it has ended. Asks it to read its settings. */
+/** Sends SIGTERM, and restarts the daemon once it has exited. */
 void daemons_stop(int daemon);
+
+/** Sends SIGHUP. */
 void daemons_reload(int daemon);
 
-/** Fills the disk of a state replica, which keeps what it holds. */
+/** Makes writes of a state replica fail as on a full disk; its data stays. */
 void daemons_fill_disk(int daemon, uint64_t for_ms);
 
-/** Kills a state replica and removes its data, unless that might lose what was acknowledged; tells whether it did. */
-bool daemons_lose_disk(int daemon, uint64_t down_ms);
+/** Kills a state replica and removes its data; false, and does nothing, if acknowledged data might be lost. */
+bool daemons_remove_data(int daemon, uint64_t down_ms);
 
-/** Whether all run and the state replicas hold together. */
-bool daemons_are_whole(void);
+/** Whether all daemons run, no disk is full, and every replica reports the expected number of members. */
+bool daemons_all_healthy(void);
 
 #endif
