--- a/tests/soak/faults.c
+++ b/tests/soak/faults.c
@@ -6,46 +6,45 @@
 #include "../integration/site.h"
 #include "base/clock.h"
 #include "daemons.h"
-#include "lives.h"
+#include "fault_log.h"
 #include "oracle.h"
 #include "random.h"
 
 enum {
-    GAP_MS = 900,    /* most time between two faults */
-    LASTS_MS = 2500, /* most time that one lasts */
-    LEAST_MS = 50,   /* least time that one lasts */
-    STARVED_LEAST_MS = 1000,
-    STARVED_MORE_MS = 2000,
-    OUTAGE_SOON_MS = 300, /* most time until the first ones come back after all were killed */
-    START_MS = 400,       /* most time of a start that is killed */
-    STARTS = 3,           /* most starts that are killed, less one */
-    PLANNED_GAP_MS = 500, /* most time between two pieces of planned work */
-    SERVERS_ONE_IN = 3,   /* of the faults of mixed rounds comes with one of a server */
-    MIXED_MS = 5000,      /* time of a round of each kind */
-    OUTAGE_MS = 4000,
-    PLANNED_MS = 4000
+    MAX_FAULT_GAP_MS = 900,
+    FAULT_EXTRA_MS = 2500, /* maximum random addition to FAULT_MIN_MS */
+    FAULT_MIN_MS = 50,
+    STARVE_MIN_MS = 1000,
+    STARVE_EXTRA_MS = 2000,
+    OUTAGE_EARLY_EXTRA_MS = 300, /* maximum random addition to FAULT_MIN_MS before an early restart */
+    START_KILL_EXTRA_MS = 400,   /* maximum random addition to FAULT_MIN_MS / 2 before a restart is killed */
+    KILLED_STARTS_LIMIT = 3,     /* exclusive limit of the restarts killed in a row */
+    MAX_PLANNED_GAP_MS = 500,
+    SERVER_FAULT_ONE_IN = 3, /* in run_mixed(), on average one fault in this many comes with a server fault */
+    MIXED_ROUND_MS = 5000,
+    OUTAGE_ROUND_MS = 4000,
+    PLANNED_ROUND_MS = 4000
 };
 
-/* What can happen. */
 typedef enum fault_t {
     FAULT_KILL,
-    FAULT_FREEZE,
+    FAULT_PAUSE,
     FAULT_STARVE,
     FAULT_STOP,
     FAULT_RELOAD,
-    FAULT_KILL_STATES,
-    FAULT_LOSE_DISK,
+    FAULT_KILL_REPLICAS,
+    FAULT_REMOVE_DATA,
     FAULT_FULL_DISK,
     FAULT_SERVER,
     FAULT_PROXY,
-    FAULT_LEAVE,
-    FAULTS
+    FAULT_DRAIN,
+    FAULT_KINDS
 } fault_t;
 
 static uint64_t server_until_ms[SITE_SERVERS];
 static uint64_t proxy_until_ms[SITE_SERVERS];
-static uint64_t leave_until_ms[SITE_SERVERS];
-static int count;
+static uint64_t drain_until_ms[SITE_SERVERS];
+static int fault_count;
 static uint64_t started_ms;
 static uint64_t end_ms;
 
@@ -54,85 +53,85 @@
     return clock_monotonic_ms();
 }
 
-static void tell(const char *what, int where)
+static void log_fault(const char *fault, int target)
 {
-    count++;
-    printf("%8.3f s  %s %d\n", (double)(now_ms() - started_ms) / 1000, what, where);
+    fault_count++;
+    printf("%8.3f s  %s %d\n", (double)(now_ms() - started_ms) / 1000, fault, target);
     fflush(stdout);
 }
 
-static uint64_t lasts(uint64_t *seed)
+static uint64_t random_duration_ms(uint64_t *seed)
 {
-    return LEAST_MS + random_below(seed, LASTS_MS);
+    return FAULT_MIN_MS + random_below(seed, FAULT_EXTRA_MS);
 }
 
 /* ---- Daemons ---------------------------------------------------------------- */
 
 static void kill_one(uint64_t *seed, int daemon, uint64_t down_ms)
 {
-    int starts = (int)random_below(seed, 3) == 0 ? (int)random_below(seed, STARTS) : 0;
-    uint64_t start_ms = LEAST_MS / 2 + random_below(seed, START_MS);
-    daemons_kill(daemon, down_ms, daemons_is_state(daemon) ? starts : 0, start_ms);
+    int starts_to_kill = (int)random_below(seed, 3) == 0 ? (int)random_below(seed, KILLED_STARTS_LIMIT) : 0;
+    uint64_t start_kill_delay_ms = FAULT_MIN_MS / 2 + random_below(seed, START_KILL_EXTRA_MS);
+    daemons_kill(daemon, down_ms, daemons_is_replica(daemon) ? starts_to_kill : 0, start_kill_delay_ms);
 }
 
-static void disturb_daemon(uint64_t *seed, fault_t fault)
+static void inject_daemon_fault(uint64_t *seed, fault_t fault)
 {
     int daemon = (int)random_below(seed, (uint32_t)daemons_count());
-    if (!daemons_runs(daemon)) {
+    if (!daemons_is_running(daemon)) {
         return;
     }
     if (fault == FAULT_KILL) {
-        tell("kill", daemon);
-        kill_one(seed, daemon, lasts(seed));
-    } else if (fault == FAULT_FREEZE) {
-        tell("freeze", daemon);
-        daemons_freeze(daemon, lasts(seed));
+        log_fault("kill", daemon);
+        kill_one(seed, daemon, random_duration_ms(seed));
+    } else if (fault == FAULT_PAUSE) {
+        log_fault("pause", daemon);
+        daemons_pause(daemon, random_duration_ms(seed));
     } else if (fault == FAULT_STARVE) {
-        tell("starve", daemon);
-        daemons_starve(daemon, STARVED_LEAST_MS + random_below(seed, STARVED_MORE_MS));
+        log_fault("starve", daemon);
+        daemons_starve(daemon, STARVE_MIN_MS + random_below(seed, STARVE_EXTRA_MS));
     } else if (fault == FAULT_STOP) {
-        tell("stop", daemon);
+        log_fault("stop", daemon);
         daemons_stop(daemon);
     } else {
-        tell("reload", daemon);
+        log_fault("reload", daemon);
         daemons_reload(daemon);
     }
 }
 
-static void kill_states(uint64_t *seed)
+static void kill_replicas(uint64_t *seed)
 {
-    tell("kill all replicas", daemons_states());
-    for (int i = 0; i < daemons_states(); i++) {
-        kill_one(seed, site_state_daemon(i), lasts(seed));
+    log_fault("kill all replicas", daemons_replicas());
+    for (int i = 0; i < daemons_replicas(); i++) {
+        kill_one(seed, site_replica_daemon(i), random_duration_ms(seed));
     }
 }
 
-/* Gateways and one replica come back at once, or each daemon at a time of its own. */
+/* Kills all daemons; restarts the gateways and one replica early, or each daemon after a random time. */
 static void kill_all(uint64_t *seed)
 {
-    bool one_soon = random_below(seed, 2) == 0;
-    int soon = site_state_daemon((int)random_below(seed, (uint32_t)daemons_states()));
-    tell("kill everything", daemons_count());
+    bool restart_early = random_below(seed, 2) == 0;
+    int early_replica = site_replica_daemon((int)random_below(seed, (uint32_t)daemons_replicas()));
+    log_fault("kill all daemons", daemons_count());
     for (int i = 0; i < daemons_count(); i++) {
-        bool early = one_soon && (i == soon || !daemons_is_state(i));
-        kill_one(seed, i, early ? LEAST_MS + random_below(seed, OUTAGE_SOON_MS) : lasts(seed));
+        bool early = restart_early && (i == early_replica || !daemons_is_replica(i));
+        kill_one(seed, i, early ? FAULT_MIN_MS + random_below(seed, OUTAGE_EARLY_EXTRA_MS) : random_duration_ms(seed));
     }
 }
 
-static void lose_disk(uint64_t *seed)
+static void remove_data(uint64_t *seed)
 {
-    int state = site_state_daemon((int)random_below(seed, (uint32_t)daemons_states()));
-    if (daemons_lose_disk(state, lasts(seed))) {
-        tell("lost the disk of", state);
+    int replica = site_replica_daemon((int)random_below(seed, (uint32_t)daemons_replicas()));
+    if (daemons_remove_data(replica, random_duration_ms(seed))) {
+        log_fault("remove the data of", replica);
     }
 }
 
 static void fill_disk(uint64_t *seed)
 {
-    int state = site_state_daemon((int)random_below(seed, (uint32_t)daemons_states()));
-    if (daemons_runs(state)) {
-        tell("fill the disk of", state);
-        daemons_fill_disk(state, lasts(seed));
+    int replica = site_replica_daemon((int)random_below(seed, (uint32_t)daemons_replicas()));
+    if (daemons_is_running(replica)) {
+        log_fault("fill the disk of", replica);
+        daemons_fill_disk(replica, random_duration_ms(seed));
     }
 }
 
@@ -140,28 +139,28 @@
 
 static void fail_server(uint64_t *seed)
 {
-    static const enum site_mode modes[] = {SITE_REFUSE, SITE_CUT,  SITE_CUT_MIDWAY, SITE_SLOW,
-                                           SITE_STALL,  SITE_TORN, SITE_PAUSED};
+    static const enum site_mode modes[] = {SITE_REFUSE, SITE_CUT,          SITE_CUT_MIDWAY, SITE_SLOW,
+                                           SITE_STALL,  SITE_CUT_IN_EVENT, SITE_PAUSED};
     int server = (int)random_below(seed, SITE_SERVERS);
     enum site_mode mode = modes[random_below(seed, sizeof(modes) / sizeof(modes[0]))];
-    uint64_t for_ms = lasts(seed);
+    uint64_t for_ms = random_duration_ms(seed);
     if (server_until_ms[server] == 0) {
-        tell("fail server", server);
-        lives_begin(LIVES_SERVERS, LIVES_FAILS);
+        log_fault("fail server", server);
+        fault_log_begin(FAULT_LOG_SERVERS, FAULT_LOG_SERVER_FAULT);
         site_set_mode(server, mode);
         server_until_ms[server] = now_ms() + for_ms;
     }
 }
 
-static void disturb_proxy(uint64_t *seed)
+static void fail_proxy(uint64_t *seed)
 {
     int server = (int)random_below(seed, SITE_SERVERS);
-    enum proxy_mode mode = (enum proxy_mode)(1 + random_below(seed, PROXY_MODES - 1));
-    uint64_t for_ms = lasts(seed);
+    enum proxy_mode mode = (enum proxy_mode)(1 + random_below(seed, PROXY_MODE_COUNT - 1));
+    uint64_t for_ms = random_duration_ms(seed);
     if (proxy_until_ms[server] == 0) {
-        tell("disturb the way to server", server);
-        lives_begin(LIVES_SERVERS, LIVES_FAILS);
-        site_set_proxy(server, mode);
+        log_fault("fail proxy of server", server);
+        fault_log_begin(FAULT_LOG_SERVERS, FAULT_LOG_SERVER_FAULT);
+        site_set_proxy_mode(server, mode);
         proxy_until_ms[server] = now_ms() + for_ms;
     }
 }
@@ -169,164 +168,164 @@
 static void drain_server(uint64_t *seed)
 {
     int server = (int)random_below(seed, SITE_SERVERS);
-    uint64_t for_ms = lasts(seed);
-    if (leave_until_ms[server] == 0) {
-        tell("drain server", server);
-        lives_begin(LIVES_SERVERS, LIVES_FAILS);
+    uint64_t for_ms = random_duration_ms(seed);
+    if (drain_until_ms[server] == 0) {
+        log_fault("drain server", server);
+        fault_log_begin(FAULT_LOG_SERVERS, FAULT_LOG_SERVER_FAULT);
         site_set_draining(server, true);
-        leave_until_ms[server] = now_ms() + for_ms;
+        drain_until_ms[server] = now_ms() + for_ms;
     }
 }
 
-static bool is_over(uint64_t *until_ms)
+static bool clear_if_expired(uint64_t *until_ms)
 {
-    bool over = *until_ms != 0 && now_ms() >= *until_ms;
-    *until_ms = over ? 0 : *until_ms;
-    return over;
+    bool expired = *until_ms != 0 && now_ms() >= *until_ms;
+    *until_ms = expired ? 0 : *until_ms;
+    return expired;
 }
 
-static void look_after_servers(void)
+static void poll_servers(void)
 {
     for (int i = 0; i < SITE_SERVERS; i++) {
-        if (is_over(&server_until_ms[i])) {
+        if (clear_if_expired(&server_until_ms[i])) {
             site_set_mode(i, SITE_NORMAL);
-            lives_end(LIVES_SERVERS, LIVES_FAILS);
+            fault_log_end(FAULT_LOG_SERVERS, FAULT_LOG_SERVER_FAULT);
         }
-        if (is_over(&proxy_until_ms[i])) {
-            site_set_proxy(i, PROXY_PASS);
-            lives_end(LIVES_SERVERS, LIVES_FAILS);
+        if (clear_if_expired(&proxy_until_ms[i])) {
+            site_set_proxy_mode(i, PROXY_PASS);
+            fault_log_end(FAULT_LOG_SERVERS, FAULT_LOG_SERVER_FAULT);
         }
-        if (is_over(&leave_until_ms[i])) {
+        if (clear_if_expired(&drain_until_ms[i])) {
             site_replace_server(i);
-            lives_end(LIVES_SERVERS, LIVES_FAILS);
+            fault_log_end(FAULT_LOG_SERVERS, FAULT_LOG_SERVER_FAULT);
         }
     }
 }
 
-/* ---- Time ------------------------------------------------------------------- */
+/* ---- Schedule ------------------------------------------------------------------- */
 
-static void inject(uint64_t *seed)
+static void inject_fault(uint64_t *seed)
 {
-    fault_t fault = (fault_t)random_below(seed, FAULTS);
+    fault_t fault = (fault_t)random_below(seed, FAULT_KINDS);
     switch (fault) {
     case FAULT_KILL:
-    case FAULT_FREEZE:
+    case FAULT_PAUSE:
     case FAULT_STARVE:
     case FAULT_STOP:
-    case FAULT_RELOAD: disturb_daemon(seed, fault); break;
-    case FAULT_KILL_STATES: kill_states(seed); break;
-    case FAULT_LOSE_DISK: lose_disk(seed); break;
+    case FAULT_RELOAD: inject_daemon_fault(seed, fault); break;
+    case FAULT_KILL_REPLICAS: kill_replicas(seed); break;
+    case FAULT_REMOVE_DATA: remove_data(seed); break;
     case FAULT_FULL_DISK: fill_disk(seed); break;
     case FAULT_SERVER: fail_server(seed); break;
-    case FAULT_PROXY: disturb_proxy(seed); break;
-    case FAULT_LEAVE: drain_server(seed); break;
-    case FAULTS: break;
+    case FAULT_PROXY: fail_proxy(seed); break;
+    case FAULT_DRAIN: drain_server(seed); break;
+    case FAULT_KINDS: break;
     }
 }
 
-/* Stops of gateways may overlap; of the state replicas one at a time stops, since the others are to go on. */
-static void work_as_planned(uint64_t *seed)
+/* Gateways may stop together; state replicas stop one at a time, to keep a quorum. */
+static void run_planned_operation(uint64_t *seed)
 {
     int daemon = (int)random_below(seed, (uint32_t)daemons_count());
-    bool stops = random_below(seed, 2) == 0;
-    if (!stops) {
-        tell("reload", daemon);
+    bool stop = random_below(seed, 2) == 0;
+    if (!stop) {
+        log_fault("reload", daemon);
         daemons_reload(daemon);
-    } else if (daemons_runs(daemon) && (!daemons_is_state(daemon) || daemons_states_away() == 0)) {
-        tell("stop", daemon);
+    } else if (daemons_is_running(daemon) && (!daemons_is_replica(daemon) || daemons_unavailable_replicas() == 0)) {
+        log_fault("stop", daemon);
         daemons_stop(daemon);
     }
 }
 
-static void pass(uint64_t duration_ms)
+static void poll_for(uint64_t duration_ms)
 {
     uint64_t until_ms = now_ms() + duration_ms;
     while (now_ms() < until_ms) {
-        daemons_look_after();
-        look_after_servers();
+        daemons_poll();
+        poll_servers();
         clock_sleep_us(DAEMONS_STEP_MS * 1000);
     }
 }
 
-static bool goes_on(uint64_t until_ms)
+static bool can_continue(uint64_t until_ms)
 {
-    return now_ms() < until_ms && now_ms() < end_ms && oracle_count() == 0;
+    return now_ms() < until_ms && now_ms() < end_ms && oracle_violation_count() == 0;
 }
 
-/* Servers fail more often than the rest, by numbers of their own. */
-static void run_mixed(uint64_t *seed, uint64_t *servers_seed)
+/* Server faults have a random sequence of their own. */
+static void run_mixed(uint64_t *seed, uint64_t *server_seed)
 {
-    uint64_t until_ms = now_ms() + MIXED_MS;
-    while (goes_on(until_ms)) {
-        pass(random_below(seed, GAP_MS));
-        inject(seed);
-        if (random_below(servers_seed, SERVERS_ONE_IN) == 0) {
-            fail_server(servers_seed);
+    uint64_t until_ms = now_ms() + MIXED_ROUND_MS;
+    while (can_continue(until_ms)) {
+        poll_for(random_below(seed, MAX_FAULT_GAP_MS));
+        inject_fault(seed);
+        if (random_below(server_seed, SERVER_FAULT_ONE_IN) == 0) {
+            fail_server(server_seed);
         }
     }
 }
 
 static void run_outage(uint64_t *seed)
 {
-    uint64_t until_ms = now_ms() + OUTAGE_MS;
-    if (goes_on(until_ms)) {
+    uint64_t until_ms = now_ms() + OUTAGE_ROUND_MS;
+    if (can_continue(until_ms)) {
         kill_all(seed);
     }
-    while (goes_on(until_ms)) {
-        pass(random_below(seed, GAP_MS));
-        disturb_daemon(seed, FAULT_STARVE);
+    while (can_continue(until_ms)) {
+        poll_for(random_below(seed, MAX_FAULT_GAP_MS));
+        inject_daemon_fault(seed, FAULT_STARVE);
     }
 }
 
-/* Planned work alone: what was under way before has ended. Servers take a moment, so that requests are under way. */
+/* First gives other faults time to end. Slow servers keep requests in flight. */
 static void run_planned(uint64_t *seed)
 {
-    pass(goes_on(end_ms) ? LASTS_MS : 0);
+    poll_for(can_continue(end_ms) ? FAULT_EXTRA_MS : 0);
     site_set_mode(-1, SITE_PACED);
-    uint64_t until_ms = now_ms() + PLANNED_MS;
-    while (goes_on(until_ms)) {
-        pass(random_below(seed, PLANNED_GAP_MS));
-        work_as_planned(seed);
+    uint64_t until_ms = now_ms() + PLANNED_ROUND_MS;
+    while (can_continue(until_ms)) {
+        poll_for(random_below(seed, MAX_PLANNED_GAP_MS));
+        run_planned_operation(seed);
     }
     site_set_mode(-1, SITE_NORMAL);
 }
 
 void faults_run(uint64_t seed, uint64_t duration_ms)
 {
-    uint64_t servers_seed = ~seed;
+    uint64_t server_seed = ~seed;
     started_ms = now_ms();
     end_ms = started_ms + duration_ms;
-    while (goes_on(end_ms)) {
-        run_mixed(&seed, &servers_seed);
+    while (can_continue(end_ms)) {
+        run_mixed(&seed, &server_seed);
         run_outage(&seed);
-        run_mixed(&seed, &servers_seed);
+        run_mixed(&seed, &server_seed);
         run_planned(&seed);
     }
 }
 
-static bool all_are_well(void *context)
+static bool site_is_healthy(void *context)
 {
     (void)context;
-    pass(DAEMONS_STEP_MS);
-    if (!daemons_are_whole()) {
+    poll_for(DAEMONS_STEP_MS);
+    if (!daemons_all_healthy()) {
         return false;
     }
-    struct site_answer answer;
-    site_call_as(0, "well", "POST", "/safe/x", "", "x", &answer);
-    int status = answer.status;
-    site_answer_close(&answer);
+    struct site_response response;
+    site_call_as(0, "health-check", "POST", "/safe/x", "", "x", &response);
+    int status = response.status;
+    site_response_close(&response);
     return status == 200;
 }
 
 void faults_end(void)
 {
-    oracle_wish_t wish = {0};
-    oracle_expect("well", &wish);
-    pass(STARVED_LEAST_MS + STARVED_MORE_MS);
-    site_wait(all_are_well, NULL, "the site is whole again");
+    oracle_expectation_t expectation = {0};
+    oracle_expect("health-check", &expectation);
+    poll_for(STARVE_MIN_MS + STARVE_EXTRA_MS);
+    site_wait(site_is_healthy, NULL, "all daemons are healthy and requests are served");
 }
 
 int faults_count(void)
 {
-    return count;
+    return fault_count;
 }
--- a/tests/soak/faults.h
+++ b/tests/soak/faults.h
@@ -1,21 +1,20 @@
 /**
  * @file faults.h
- * Faults of the soak, injected from outside the processes: signals, restarts,
- * lost and full disks, proxies before servers, servers that fail. They come
- * in series and overlap; each ends by itself.
+ * Schedules the faults of the soak, from outside the daemons' processes. Faults
+ * may overlap; each one expires by itself.
  */
 #ifndef BANKBANK_TESTS_FAULTS_H
 #define BANKBANK_TESTS_FAULTS_H
 
 #include <stdint.h>
 
-/** Injects faults for so long, from a seed. */
+/** Injects faults, chosen from `seed`, for `duration_ms` or until the first violation. */
 void faults_run(uint64_t seed, uint64_t duration_ms);
 
-/** Ends all that are under way, and waits until the site is whole again. */
+/** Lets active faults expire, and waits until the site is healthy. */
 void faults_end(void);
 
-/** Number of faults so far. */
+/** Returns the number of faults injected so far. */
 int faults_count(void);
 
 #endif
--- a/tests/soak/operators.c
+++ b/tests/soak/operators.c
@@ -11,76 +11,76 @@
 #include "routes.h"
 
 enum {
-    OPERATORS_PAUSE_US = 250000, /* most time between two things */
-    OPERATORS_SERIES = 4         /* configurations of a series */
+    OPERATORS_MAX_PAUSE_US = 250000, /* between two operations */
+    OPERATORS_SERIES_LENGTH = 4
 };
 
-static const char OPERATORS_PUT[] = "/api/config/replace";
+static const char OPERATORS_REPLACE_PATH[] = "/api/config/replace";
 
-static unsigned long long version_in(struct buffer *reply)
+static unsigned long long parse_version(struct buffer *response)
 {
-    const char *at = strstr(buffer_text(reply), "\"version\":");
+    const char *at = strstr(buffer_text(response), "\"version\":");
     return at == NULL ? 0 : strtoull(at + strlen("\"version\":"), NULL, 10);
 }
 
-static int any_state(uint64_t *seed)
+static int random_replica(uint64_t *seed)
 {
-    return (int)random_below(seed, (uint32_t)daemons_states());
+    return (int)random_below(seed, (uint32_t)daemons_replicas());
 }
 
 static int send_configuration(uint64_t *seed, uint64_t version)
 {
     char *text = routes_configuration(version);
-    int status = site_order(any_state(seed), "POST", OPERATORS_PUT, text, NULL);
+    int status = site_operator_call(random_replica(seed), "POST", OPERATORS_REPLACE_PATH, text, NULL);
     free(text);
     return status;
 }
 
-/* An operator whose answer was lost sends an older version again: it is acknowledged and changes nothing. */
+/* Resends an older version, as after a lost answer; replicas acknowledge it without applying it. */
 static void resend_configuration(uint64_t *seed)
 {
-    uint64_t newest = routes_newest();
+    uint64_t newest = routes_acknowledged_version();
     send_configuration(seed, newest > 1 ? newest - 1 : newest);
 }
 
-static void put_configuration(uint64_t *seed)
+static void replace_configuration(uint64_t *seed)
 {
-    uint64_t version = routes_next();
+    uint64_t version = routes_next_version();
     if (send_configuration(seed, version) == 200) {
-        routes_acknowledged(version);
+        routes_record_acknowledged(version);
     }
 }
 
-static void put_series(uint64_t *seed)
+static void replace_series(uint64_t *seed)
 {
-    for (int i = 0; i < OPERATORS_SERIES; i++) {
-        put_configuration(seed);
+    for (int i = 0; i < OPERATORS_SERIES_LENGTH; i++) {
+        replace_configuration(seed);
     }
 }
 
 static void read_configuration(uint64_t *seed)
 {
-    struct buffer reply = {0};
-    uint64_t least = routes_newest();
-    int state = any_state(seed);
-    int status = site_order(state, "GET", "/api/config/get", NULL, &reply);
-    if (status == 200 && version_in(&reply) < least) {
-        oracle_violated("reverted: replica %d shows version %llu, %llu was acknowledged before", state,
-                        version_in(&reply), (unsigned long long)least);
+    struct buffer response = {0};
+    uint64_t acknowledged = routes_acknowledged_version();
+    int replica = random_replica(seed);
+    int status = site_operator_call(replica, "GET", "/api/config/get", NULL, &response);
+    if (status == 200 && parse_version(&response) < acknowledged) {
+        oracle_report_violation("reverted: replica %d returned version %llu, %llu was acknowledged before", replica,
+                                parse_version(&response), (unsigned long long)acknowledged);
     }
-    buffer_close(&reply);
+    buffer_close(&response);
 }
 
-void operators_act(uint64_t *seed)
+void operators_step(uint64_t *seed)
 {
     switch (random_below(seed, 12)) {
-    case 0: put_series(seed); break;
+    case 0: replace_series(seed); break;
     case 1:
     case 2:
-    case 3: put_configuration(seed); break;
+    case 3: replace_configuration(seed); break;
     case 4:
     case 5: resend_configuration(seed); break;
     default: read_configuration(seed); break;
     }
-    clock_sleep_us(random_below(seed, OPERATORS_PAUSE_US));
+    clock_sleep_us(random_below(seed, OPERATORS_MAX_PAUSE_US));
 }
--- a/tests/soak/operators.h
+++ b/tests/soak/operators.h
@@ -1,14 +1,14 @@
 /**
  * @file operators.h
- * Operators of the soak: they send configurations, singly and in series, send
- * older ones again, and read back what is there.
+ * Operators of the soak: replace the configuration, resend older versions, and
+ * read back the current one.
  */
 #ifndef BANKBANK_TESTS_OPERATORS_H
 #define BANKBANK_TESTS_OPERATORS_H
 
 #include <stdint.h>
 
-/** Does the next thing, and pauses. */
-void operators_act(uint64_t *seed);
+/** Runs one random operation, then pauses. */
+void operators_step(uint64_t *seed);
 
 #endif
--- a/tests/soak/oracle.c
+++ b/tests/soak/oracle.c
@@ -10,22 +10,20 @@
 #include <uthash.h>
 #include <xxhash.h>
 
-enum { ORACLE_PRINTED = 20 /* violations that are printed */ };
+enum { ORACLE_MAX_PRINTED = 20 /* further violations are only counted */ };
 
-/* An instance of a server. */
 typedef struct oracle_server_t {
     int server;
     int instance;
 } oracle_server_t;
 
-/* One request. */
 typedef struct oracle_request_t {
-    oracle_wish_t wish; /* its body is not kept: */
-    size_t length;
-    uint64_t hash;
+    oracle_expectation_t expectation; /* the body is not copied: its data is only compared with NULL */
+    size_t expected_length;
+    uint64_t expected_hash;
     bool not_run;
     int runs;
-    oracle_server_t servers[ORACLE_SERVERS];
+    oracle_server_t servers[ORACLE_MAX_SERVERS];
     int server_count;
     UT_hash_handle hh;
     char id[];
@@ -35,10 +33,10 @@
 static oracle_request_t *oracle_requests;
 static int oracle_violations;
 
-/* With the lock held. */
-static void oracle_tell(const char *format, va_list arguments)
+/* Call with the lock held. */
+static void oracle_print(const char *format, va_list arguments)
 {
-    if (oracle_violations++ < ORACLE_PRINTED) {
+    if (oracle_violations++ < ORACLE_MAX_PRINTED) {
         printf("VIOLATED ");
         vprintf(format, arguments);
         printf("\n");
@@ -46,21 +44,21 @@
     }
 }
 
-static void oracle_say(const char *format, ...) __attribute__((format(printf, 1, 2)));
-static void oracle_say(const char *format, ...)
+static void oracle_report_locked(const char *format, ...) __attribute__((format(printf, 1, 2)));
+static void oracle_report_locked(const char *format, ...)
 {
     va_list arguments;
     va_start(arguments, format);
-    oracle_tell(format, arguments);
+    oracle_print(format, arguments);
     va_end(arguments);
 }
 
-void oracle_violated(const char *format, ...)
+void oracle_report_violation(const char *format, ...)
 {
     va_list arguments;
     va_start(arguments, format);
     pthread_mutex_lock(&oracle_lock);
-    oracle_tell(format, arguments);
+    oracle_print(format, arguments);
     pthread_mutex_unlock(&oracle_lock);
     va_end(arguments);
 }
@@ -77,14 +75,14 @@
     return body.length == 0 ? 0 : XXH64(body.data, body.length, 0);
 }
 
-void oracle_expect(const char *id, const oracle_wish_t *wish)
+void oracle_expect(const char *id, const oracle_expectation_t *expectation)
 {
     size_t length = strlen(id);
     oracle_request_t *request = memory_new(sizeof(*request) + length + 1);
     memcpy(request->id, id, length);
-    request->wish = *wish;
-    request->length = wish->expected.length;
-    request->hash = oracle_hash(wish->expected);
+    request->expectation = *expectation;
+    request->expected_length = expectation->expected_body.length;
+    request->expected_hash = oracle_hash(expectation->expected_body);
     pthread_mutex_lock(&oracle_lock);
     HASH_ADD_STR(oracle_requests, id, request);
     pthread_mutex_unlock(&oracle_lock);
@@ -92,14 +90,14 @@
 
 static void oracle_check_body(const oracle_request_t *request, const site_run_t *run)
 {
-    bool same = run->body.length == request->length && oracle_hash(run->body) == request->hash;
-    if (request->wish.expected.data != NULL && !same) {
-        oracle_say("history: server %d gets %zu bytes for %s, expected %zu", run->server, run->body.length, run->id,
-                   request->length);
+    bool same = run->body.length == request->expected_length && oracle_hash(run->body) == request->expected_hash;
+    if (request->expectation.expected_body.data != NULL && !same) {
+        oracle_report_locked("history: server %d received %zu bytes for %s, expected %zu", run->server,
+                             run->body.length, run->id, request->expected_length);
     }
 }
 
-/* Instances that are still there; the same one may begin several times. */
+/* Does not count instances that were replaced after they started the request. */
 static int oracle_count_servers(const oracle_request_t *request)
 {
     int servers = 0;
@@ -111,44 +109,46 @@
 
 static void oracle_check_servers(oracle_request_t *request, const site_run_t *run)
 {
-    bool known = request->server_count == ORACLE_SERVERS;
+    bool skip = request->server_count == ORACLE_MAX_SERVERS;
     for (int i = 0; i < request->server_count; i++) {
-        known = known || (request->servers[i].server == run->server && request->servers[i].instance == run->instance);
+        skip = skip || (request->servers[i].server == run->server && request->servers[i].instance == run->instance);
     }
-    if (known) {
+    if (skip) {
         return;
     }
     request->servers[request->server_count++] = (oracle_server_t){run->server, run->instance};
-    if (request->wish.servers > 0 && oracle_count_servers(request) > request->wish.servers) {
-        oracle_say("servers: %s begins at server %d, its number %d of %d", run->id, run->server,
-                   oracle_count_servers(request), request->wish.servers);
+    if (request->expectation.max_servers > 0 && oracle_count_servers(request) > request->expectation.max_servers) {
+        oracle_report_locked("servers: %s started at server %d, on %d servers, allowed %d", run->id, run->server,
+                             oracle_count_servers(request), request->expectation.max_servers);
     }
 }
 
 static void oracle_check_deadline(const oracle_request_t *request, const site_run_t *run)
 {
-    uint64_t end_ms = request->wish.end_ms;
-    /* On its way a request is read by a proxy and by a server of this process: what it lay there is no gateway's. */
-    uint64_t slack_ms = ORACLE_LATE_MS + ORACLE_READERS * site_late_ms();
-    if (end_ms != 0 && run->left_ms < 0) {
-        oracle_say("deadline: server %d is told no time for %s", run->server, run->id);
-    } else if (end_ms != 0 && run->at_ms + (uint64_t)run->left_ms > end_ms + slack_ms) {
-        oracle_say("deadline: server %d is given %lld ms for %s, %lld ms more than the caller has left", run->server,
-                   (long long)run->left_ms, run->id,
-                   (long long)(run->at_ms + (uint64_t)run->left_ms) - (long long)end_ms);
+    uint64_t end_ms = request->expectation.deadline_ms;
+    /* The gateway does not cause the read delay of the proxy and the server, which are threads of this process. */
+    uint64_t slack_ms = ORACLE_DEADLINE_SLACK_MS + ORACLE_LOCAL_READERS * site_read_delay_ms();
+    if (end_ms != 0 && run->remaining_ms < 0) {
+        oracle_report_locked("deadline: server %d received no deadline for %s", run->server, run->id);
+    } else if (end_ms != 0 && run->at_ms + (uint64_t)run->remaining_ms > end_ms + slack_ms) {
+        oracle_report_locked(
+            "deadline: server %d received a timeout of %lld ms for %s, %lld ms past the caller's deadline", run->server,
+            (long long)run->remaining_ms, run->id,
+            (long long)(run->at_ms + (uint64_t)run->remaining_ms) - (long long)end_ms);
     }
 }
 
-void oracle_run(const site_run_t *run)
+void oracle_record_run(const site_run_t *run)
 {
     pthread_mutex_lock(&oracle_lock);
     oracle_request_t *request = oracle_find(run->id);
     if (request == NULL) {
-        oracle_say("mixed: server %d runs %s, which nobody sent", run->server, run->id);
+        oracle_report_locked("mixed: server %d started %s, which was never sent", run->server, run->id);
     } else {
         request->runs++;
-        if (request->wish.once && request->runs > 1) {
-            oracle_say("run twice: %s begins at server %d, its run number %d", run->id, run->server, request->runs);
+        if (request->expectation.at_most_once && request->runs > 1) {
+            oracle_report_locked("run twice: %s started at server %d, start number %d", run->id, run->server,
+                                 request->runs);
         }
         oracle_check_body(request, run);
         oracle_check_servers(request, run);
@@ -157,7 +157,7 @@
     pthread_mutex_unlock(&oracle_lock);
 }
 
-int oracle_runs(const char *id)
+int oracle_run_count(const char *id)
 {
     pthread_mutex_lock(&oracle_lock);
     const oracle_request_t *request = oracle_find(id);
@@ -166,7 +166,7 @@
     return runs;
 }
 
-void oracle_not_run(const char *id)
+void oracle_record_not_run(const char *id)
 {
     pthread_mutex_lock(&oracle_lock);
     oracle_request_t *request = oracle_find(id);
@@ -176,7 +176,7 @@
     pthread_mutex_unlock(&oracle_lock);
 }
 
-int oracle_count(void)
+int oracle_violation_count(void)
 {
     pthread_mutex_lock(&oracle_lock);
     int count = oracle_violations;
@@ -184,12 +184,12 @@
     return count;
 }
 
-int oracle_end(void)
+int oracle_finish(void)
 {
     pthread_mutex_lock(&oracle_lock);
     for (const oracle_request_t *request = oracle_requests; request != NULL; request = request->hh.next) {
         if (request->not_run && request->runs > 0) {
-            oracle_say("not run: %s was refused as not run and began %d times", request->id, request->runs);
+            oracle_report_locked("not run: %s was refused as not run but started %d times", request->id, request->runs);
         }
     }
     int count = oracle_violations;
--- a/tests/soak/oracle.h
+++ b/tests/soak/oracle.h
@@ -1,28 +1,28 @@
 /**
  * @file oracle.h
- * What must hold whatever fails, checked from what callers and servers see.
- * All functions may be called from any thread.
+ * Invariants that must hold under all faults, checked by what callers and
+ * servers observe. All functions may be called from any thread. Each invariant
+ * is listed by the name that a violation is printed with:
  *
- *   run twice       a request that may not be repeated begins at servers once
- *   not run         a request whose refusal says so never begins
- *   mixed           an answer is the caller's own, and whole where it looks so
- *   history         a server gets a turn with exactly what was said before it
- *   turn lost       a turn that was acknowledged can be gone on from
- *   budget          a program is handed out no more than its budget
- *   reverted        a configuration that was acknowledged is not read back older
- *   ended           no process ends by itself
- *   servers         a request begins on no more servers than its route allows;
- *                   a server that was replaced meanwhile is left out
- *   deadline        a server is told a time that ends with the caller's own,
- *                   ORACLE_LATE_MS later at most, and as much more as the
- *                   soak's own threads read late
- *   route           a route that was added, acknowledged and not dropped since is
- *                   not refused with 404; one that was dropped is not served
- *                   where everything was well (routes.h)
- *   regressed       a process that showed a configuration shows no older one (routes.h)
- *   unanswered      a request that a server began, in its time, does not end
- *                   without an answer unless the gateway was killed (calls.h)
- *   cut             beside planned work alone, no answer ends before it is whole (calls.h)
+ *   run twice       a request that must not be retried starts at servers at most once
+ *   not run         a request refused as not run never starts
+ *   mixed           an answer belongs to its request and, if it appears complete, is complete
+ *   history         a server receives a turn with exactly the preceding conversation
+ *   turn lost       an acknowledged turn can be continued
+ *   budget          a program receives no more tokens than its budget
+ *   reverted        no configuration older than an acknowledged one is read back
+ *   ended           no daemon exits by itself; a stopped one exits with 0 in time
+ *   servers         a request starts on no more servers than its route allows,
+ *                   not counting servers replaced since
+ *   deadline        a server's deadline is later than the caller's by at most
+ *                   ORACLE_DEADLINE_SLACK_MS plus the read delay of the soak's own threads
+ *   route           an acknowledged route that is not dropped is not answered with 404;
+ *                   a dropped one is not served by an undisturbed gateway (routes.h)
+ *   regressed       a process that served a configuration serves no older one (routes.h)
+ *   unanswered      a request that a server started does not end without an answer
+ *                   before its deadline, unless the gateway was killed (calls.h)
+ *   cut             no answer is truncated while the only faults are planned stops
+ *                   and reloads (calls.h)
  */
 #ifndef BANKBANK_TESTS_ORACLE_H
 #define BANKBANK_TESTS_ORACLE_H
@@ -34,38 +34,36 @@
 #include "base/buffer.h"
 
 enum {
-    ORACLE_READERS = 2,   /**< Readers of a request behind its gateway that are threads of the soak itself. */
-    ORACLE_LATE_MS = 500, /**< A server's time ends no later than so long after the caller's own. */
-    ORACLE_SERVERS = 8    /**< Servers of one request that are told apart. */
+    ORACLE_LOCAL_READERS = 2, /**< The soak's threads that read a request behind its gateway: proxy and server. */
+    ORACLE_DEADLINE_SLACK_MS = 500,
+    ORACLE_MAX_SERVERS = 8 /**< Distinct servers recorded per request; further ones are not checked. */
 };
 
-/** What a request is to hold to. */
-typedef struct oracle_wish_t {
-    bool once;            /**< It may begin at servers once. */
-    struct view expected; /**< The body that a server is to get; NULL data: any. */
-    int servers;          /**< Most servers that it may begin on; 0: any number. */
-    uint64_t end_ms;      /**< When the caller's time is over; 0: it told none. */
-} oracle_wish_t;
+typedef struct oracle_expectation_t {
+    bool at_most_once;
+    struct view expected_body; /**< Body that a server must receive; any if its data is NULL. */
+    int max_servers;           /**< Maximum number of servers that may start it; 0 for no limit. */
+    uint64_t deadline_ms;      /**< The caller's deadline, monotonic clock; 0 for none. */
+} oracle_expectation_t;
 
-/** Notes a request before it is sent. */
-void oracle_expect(const char *id, const oracle_wish_t *wish);
+/** Records a request; must be called before it is sent. Ids must be unique. */
+void oracle_expect(const char *id, const oracle_expectation_t *expectation);
 
-/** Notes that a server began a request. */
-void oracle_run(const site_run_t *run);
+/** Records that a server started a request, and checks it. */
+void oracle_record_run(const site_run_t *run);
 
-/** How often servers began a request. */
-int oracle_runs(const char *id);
+/** Returns how often servers started a request. */
+int oracle_run_count(const char *id);
 
-/** Notes that a refusal said that a request did not run; it is held to that until the end. */
-void oracle_not_run(const char *id);
+/** Records that a request was refused as not run; oracle_finish checks that it never started. */
+void oracle_record_not_run(const char *id);
 
-/** Notes a violation. */
-void oracle_violated(const char *format, ...) __attribute__((format(printf, 1, 2)));
+/** Counts a violation and prints it, up to a limit; the text starts with the name of the violation. */
+void oracle_report_violation(const char *format, ...) __attribute__((format(printf, 1, 2)));
 
-/** Looks at what may be judged only at the end; returns the number of violations, all of which were printed. */
-int oracle_end(void);
+/** Runs the checks that are possible only at the end; returns the number of violations. */
+int oracle_finish(void);
 
-/** Number of violations so far. */
-int oracle_count(void);
+int oracle_violation_count(void);
 
 #endif
--- a/tests/soak/programs.h
+++ b/tests/soak/programs.h
@@ -1,7 +1,7 @@
 /**
  * @file programs.h
- * Programs of the soak: turns within a budget, one after the other, of which
- * each goes on from the one before it.
+ * Programs of the soak. A program is a sequence of turns with a token budget for
+ * the whole sequence; each turn continues the one before it.
  */
 #ifndef BANKBANK_TESTS_PROGRAMS_H
 #define BANKBANK_TESTS_PROGRAMS_H
@@ -11,13 +11,13 @@
 
 #include "calls.h"
 
-/** Runs one program, unless `stopping` becomes true. */
+/** Runs one program; stops early when `stopping` becomes true. */
 void programs_run(caller_t *caller, const atomic_bool *stopping);
 
-/** Everything is well again: goes on once from the last turn of programs that were whole. */
-void programs_go_on(caller_t *caller);
+/** Runs one more turn of each recorded program; call it once all faults have ended and callers have stopped. */
+void programs_resume(caller_t *caller);
 
-/** Number of turns that were acknowledged. */
+/** Returns the number of acknowledged turns. */
 uint64_t programs_turns(void);
 
 #endif
--- a/tests/soak/routes.c
+++ b/tests/soak/routes.c
@@ -5,58 +5,59 @@
 #include "../integration/site.h"
 #include "base/clock.h"
 #include "daemons.h"
-#include "lives.h"
+#include "fault_log.h"
 #include "oracle.h"
 #include "random.h"
 
-/* What a gateway's process has shown. */
-typedef struct routes_seen_t {
-    uint64_t life;
+/* Newest version whose route a gateway's process has served. */
+typedef struct routes_served_t {
+    uint64_t incarnation;
     uint64_t version;
-} routes_seen_t;
+} routes_served_t;
 
 static pthread_mutex_t routes_lock = PTHREAD_MUTEX_INITIALIZER;
-static uint64_t routes_sent;                          /* newest that was sent */
-static uint64_t routes_known;                         /* newest that was acknowledged */
-static uint64_t routes_known_ms[ROUTES_VERSIONS + 1]; /* when each was, or one above it first; 0: not yet */
+static uint64_t routes_newest_sent;
+static uint64_t routes_newest_acknowledged;
+/* Time at which each version, or a later one, was first acknowledged. */
+static uint64_t routes_acknowledged_ms[ROUTES_MAX_VERSION + 1];
 static uint64_t routes_acknowledgements;
-static routes_seen_t routes_seen[LIVES_MOST];
+static routes_served_t routes_served[FAULT_LOG_MAX_DAEMONS];
 
-void routes_open(void)
+void routes_init(void)
 {
-    routes_sent = 1;
-    routes_known = 1;
-    routes_known_ms[1] = clock_monotonic_ms();
+    routes_newest_sent = 1;
+    routes_newest_acknowledged = 1;
+    routes_acknowledged_ms[1] = clock_monotonic_ms();
 }
 
-uint64_t routes_next(void)
+uint64_t routes_next_version(void)
 {
     pthread_mutex_lock(&routes_lock);
-    uint64_t version = routes_sent < ROUTES_VERSIONS ? ++routes_sent : routes_sent;
+    uint64_t version = routes_newest_sent < ROUTES_MAX_VERSION ? ++routes_newest_sent : routes_newest_sent;
     pthread_mutex_unlock(&routes_lock);
     return version;
 }
 
-void routes_acknowledged(uint64_t version)
+void routes_record_acknowledged(uint64_t version)
 {
     pthread_mutex_lock(&routes_lock);
-    for (uint64_t i = routes_known + 1; i <= version; i++) {
-        routes_known_ms[i] = clock_monotonic_ms();
+    for (uint64_t i = routes_newest_acknowledged + 1; i <= version; i++) {
+        routes_acknowledged_ms[i] = clock_monotonic_ms();
     }
-    routes_known = version > routes_known ? version : routes_known;
+    routes_newest_acknowledged = version > routes_newest_acknowledged ? version : routes_newest_acknowledged;
     routes_acknowledgements++;
     pthread_mutex_unlock(&routes_lock);
 }
 
-uint64_t routes_newest(void)
+uint64_t routes_acknowledged_version(void)
 {
     pthread_mutex_lock(&routes_lock);
-    uint64_t version = routes_known;
+    uint64_t version = routes_newest_acknowledged;
     pthread_mutex_unlock(&routes_lock);
     return version;
 }
 
-uint64_t routes_count(void)
+uint64_t routes_acknowledged_count(void)
 {
     pthread_mutex_lock(&routes_lock);
     uint64_t acknowledgements = routes_acknowledgements;
@@ -64,7 +65,7 @@
     return acknowledgements;
 }
 
-int routes_servers(uint64_t version)
+int routes_max_servers(uint64_t version)
 {
     return version % 2 == 0 ? 1 : 2;
 }
@@ -78,108 +79,114 @@
         buffer_printf(&added,
                       "},{\"name\":\"v%llu\",\"host\":\"app.example\",\"path-prefix\":\"/v%llu/\",\"kind\":\"safe\","
                       "\"timeout-ms\":3000,\"service\":\"plain\",\"max-attempts\":%d",
-                      (unsigned long long)i, (unsigned long long)i, routes_servers(i));
+                      (unsigned long long)i, (unsigned long long)i, routes_max_servers(i));
     }
     char *text = site_configuration((int)version, buffer_text(&added));
     buffer_close(&added);
     return text;
 }
 
-/* With the lock held: the newest version that was acknowledged by then; 0: none. */
-static uint64_t routes_known_by(uint64_t by_ms)
+/* Returns 0 if none was acknowledged by then. Call with the lock held. */
+static uint64_t routes_acknowledged_by(uint64_t by_ms)
 {
-    uint64_t version = routes_known;
-    while (version > 0 && routes_known_ms[version] > by_ms) {
+    uint64_t version = routes_newest_acknowledged;
+    while (version > 0 && routes_acknowledged_ms[version] > by_ms) {
         version--;
     }
     return version;
 }
 
-/* With the lock held. */
-static uint64_t routes_wish(uint64_t *seed, uint64_t due)
+/* Call with the lock held; may return 0 or 1, for which there is no route. */
+static uint64_t routes_pick_version(uint64_t *seed, uint64_t newest_in_force)
 {
-    uint64_t back = random_below(seed, ROUTES_NEAR);
+    uint64_t offset = random_below(seed, ROUTES_RECENT);
     switch (random_below(seed, 4)) {
-    case 0: return routes_known;
-    case 1: return due > ROUTES_KEPT + back ? due - ROUTES_KEPT - back : 0;
-    default: return due > back ? due - back : 0;
+    case 0: return routes_newest_acknowledged;
+    case 1: return newest_in_force > ROUTES_KEPT + offset ? newest_in_force - ROUTES_KEPT - offset : 0;
+    default: return newest_in_force > offset ? newest_in_force - offset : 0;
     }
 }
 
-bool routes_choose(uint64_t *seed, int daemon, routes_asked_t *asked)
+bool routes_choose(uint64_t *seed, int daemon, routes_request_t *request)
 {
     pthread_mutex_lock(&routes_lock);
     uint64_t now_ms = clock_monotonic_ms();
-    uint64_t due = now_ms > ROUTES_APPLY_MS ? routes_known_by(now_ms - ROUTES_APPLY_MS) : 0;
-    uint64_t life = lives_number(daemon);
-    *asked = (routes_asked_t){
-        .version = routes_wish(seed, due),
+    uint64_t newest_in_force = now_ms > ROUTES_APPLY_MS ? routes_acknowledged_by(now_ms - ROUTES_APPLY_MS) : 0;
+    uint64_t incarnation = fault_log_incarnation(daemon);
+    *request = (routes_request_t){
+        .version = routes_pick_version(seed, newest_in_force),
         .daemon = daemon,
-        .life = life,
-        .seen = routes_seen[daemon].life == life ? routes_seen[daemon].version : 0,
+        .incarnation = incarnation,
+        .newest_served = routes_served[daemon].incarnation == incarnation ? routes_served[daemon].version : 0,
         .sent_ms = now_ms,
     };
-    asked->due = asked->version <= due;
-    asked->dropped = asked->version + ROUTES_KEPT <= due;
+    request->in_force = request->version <= newest_in_force;
+    request->dropped = request->version + ROUTES_KEPT <= newest_in_force;
     pthread_mutex_unlock(&routes_lock);
-    return asked->version > 1;
+    return request->version > 1;
 }
 
-static void routes_denied(const routes_asked_t *asked, uint64_t sent, bool same_life)
+static void routes_check_404(const routes_request_t *request, uint64_t sent, bool same_incarnation)
 {
     uint64_t now_ms = clock_monotonic_ms();
-    if (asked->version + ROUTES_KEPT <= sent) {
+    if (request->version + ROUTES_KEPT <= sent) {
         return;
     }
-    if (same_life && asked->seen >= asked->version) {
-        oracle_violated("regressed: daemon %d denies the route of version %llu and has shown version %llu",
-                        asked->daemon, (unsigned long long)asked->version, (unsigned long long)asked->seen);
-    } else if (asked->due && !lives_touched(asked->daemon, LIVES_STILL, asked->sent_ms - ROUTES_APPLY_MS, now_ms)) {
-        oracle_violated("route: daemon %d denies the route of version %llu, acknowledged %llu ms before", asked->daemon,
-                        (unsigned long long)asked->version,
-                        (unsigned long long)(asked->sent_ms - routes_known_ms[asked->version]));
+    if (same_incarnation && request->newest_served >= request->version) {
+        oracle_report_violation(
+            "regressed: daemon %d answered 404 for the route of version %llu after serving version %llu",
+            request->daemon, (unsigned long long)request->version, (unsigned long long)request->newest_served);
+    } else if (request->in_force &&
+               !fault_log_overlaps(request->daemon, FAULT_LOG_PAUSED, request->sent_ms - ROUTES_APPLY_MS, now_ms)) {
+        oracle_report_violation(
+            "route: daemon %d answered 404 for the route of version %llu, acknowledged %llu ms before", request->daemon,
+            (unsigned long long)request->version,
+            (unsigned long long)(request->sent_ms - routes_acknowledged_ms[request->version]));
     }
 }
 
-/* One replica that is asked to stop leaves the others in touch with everybody. */
-static bool routes_in_touch(const routes_asked_t *asked)
+/* The graceful stop of one replica leaves the gateways connected to the others. */
+static bool routes_gateway_is_connected(const routes_request_t *request)
 {
-    uint64_t from_ms = asked->sent_ms - ROUTES_TOUCH_MS;
+    uint64_t from_ms = request->sent_ms - ROUTES_RECOVERY_MS;
     uint64_t now_ms = clock_monotonic_ms();
-    bool touched = lives_touched(asked->daemon, LIVES_UNPLANNED | LIVES_STOPPING, from_ms, now_ms);
+    bool faulty = fault_log_overlaps(request->daemon, FAULT_LOG_UNPLANNED | FAULT_LOG_STOPPING, from_ms, now_ms);
     int stopping = 0;
-    for (int i = 0; i < daemons_states(); i++) {
-        touched = touched || lives_touched(site_state_daemon(i), LIVES_UNPLANNED, from_ms, now_ms);
-        stopping += lives_touched(site_state_daemon(i), LIVES_STOPPING, from_ms, now_ms) ? 1 : 0;
+    for (int i = 0; i < daemons_replicas(); i++) {
+        faulty = faulty || fault_log_overlaps(site_replica_daemon(i), FAULT_LOG_UNPLANNED, from_ms, now_ms);
+        stopping += fault_log_overlaps(site_replica_daemon(i), FAULT_LOG_STOPPING, from_ms, now_ms) ? 1 : 0;
     }
-    return !touched && stopping <= 1;
+    return !faulty && stopping <= 1;
 }
 
-static void routes_served(const routes_asked_t *asked, bool same_life)
+static void routes_check_200(const routes_request_t *request, bool same_incarnation)
 {
-    if (same_life && asked->seen >= asked->version + ROUTES_KEPT) {
-        oracle_violated("regressed: daemon %d serves the route of version %llu and has shown version %llu",
-                        asked->daemon, (unsigned long long)asked->version, (unsigned long long)asked->seen);
-    } else if (asked->dropped && routes_in_touch(asked)) {
-        oracle_violated("route: daemon %d serves the route of version %llu, dropped %llu ms before", asked->daemon,
-                        (unsigned long long)asked->version,
-                        (unsigned long long)(asked->sent_ms - routes_known_ms[asked->version + ROUTES_KEPT]));
+    if (same_incarnation && request->newest_served >= request->version + ROUTES_KEPT) {
+        oracle_report_violation("regressed: daemon %d served the route of version %llu after serving version %llu",
+                                request->daemon, (unsigned long long)request->version,
+                                (unsigned long long)request->newest_served);
+    } else if (request->dropped && routes_gateway_is_connected(request)) {
+        oracle_report_violation(
+            "route: daemon %d served the route of version %llu, dropped %llu ms before", request->daemon,
+            (unsigned long long)request->version,
+            (unsigned long long)(request->sent_ms - routes_acknowledged_ms[request->version + ROUTES_KEPT]));
     }
 }
 
-void routes_judge(const routes_asked_t *asked, int status)
+void routes_check_status(const routes_request_t *request, int status)
 {
     pthread_mutex_lock(&routes_lock);
-    routes_seen_t *seen = &routes_seen[asked->daemon];
-    uint64_t sent = routes_sent;
-    bool same_life = lives_number(asked->daemon) == asked->life;
-    if (status == 200 && same_life && (seen->life != asked->life || seen->version < asked->version)) {
-        *seen = (routes_seen_t){asked->life, asked->version};
+    routes_served_t *served = &routes_served[request->daemon];
+    uint64_t sent = routes_newest_sent;
+    bool same_incarnation = fault_log_incarnation(request->daemon) == request->incarnation;
+    if (status == 200 && same_incarnation &&
+        (served->incarnation != request->incarnation || served->version < request->version)) {
+        *served = (routes_served_t){request->incarnation, request->version};
     }
     pthread_mutex_unlock(&routes_lock);
     if (status == 404) {
-        routes_denied(asked, sent, same_life);
+        routes_check_404(request, sent, same_incarnation);
     } else if (status == 200) {
-        routes_served(asked, same_life);
+        routes_check_200(request, same_incarnation);
     }
 }
--- a/tests/soak/routes.h
+++ b/tests/soak/routes.h
@@ -1,25 +1,24 @@
 /**
  * @file routes.h
- * Configurations that add and drop routes, and what gateways may say of them.
+ * Configurations that add and drop routes, and checks of the gateways' answers.
  * All functions may be called from any thread.
  *
- * Version N has a route for each version from N - ROUTES_KEPT + 1 to N, /vM/ for
- * version M, beside those of the site's first configuration. So the route of M is
- * there in M and in ROUTES_KEPT - 1 versions after it, and what a version holds
- * follows from its number. Which versions are in force is known only from both
- * sides: no older one than the newest that was acknowledged ROUTES_APPLY_MS ago,
- * and none newer than the newest that was sent.
+ * Version N has the routes /vM/ for M from N - ROUTES_KEPT + 1, but at least 2, to
+ * N, beside those of the site's first configuration. The version in force at a
+ * gateway is known only as a range: at least the newest one acknowledged
+ * ROUTES_APPLY_MS ago, at most the newest one sent.
  *
- *   404 for a route whose version was acknowledged that long ago, and which even
- *   the newest version sent holds, is wrong from any gateway whose process was
- *   not made to stand still meanwhile: what it does not know it may refuse with
- *   503, but not deny. A process that has just started is judged too.
- *   404 for a route which the same process served before is wrong whatever was
- *   done to it.
- *   200 for a route that a version dropped which was acknowledged that long ago
- *   is wrong where nothing was done to this gateway for ROUTES_TOUCH_MS, and to the
- *   state replicas nothing but that one was asked to stop: only then is it sure to
- *   be in touch.
+ *   404 is wrong for a route that was acknowledged ROUTES_APPLY_MS ago and is
+ *   still in the newest version sent, unless the gateway's process was paused
+ *   meanwhile. An outdated gateway, even one just started, must answer 503.
+ *   404 is always wrong for a route that the newest version sent contains, if
+ *   the same process has served a route of that version or of a later one.
+ *   200 is wrong for a route dropped by a version acknowledged ROUTES_APPLY_MS
+ *   ago, if for ROUTES_RECOVERY_MS this gateway had no fault and the state
+ *   replicas had none but the graceful stop of one. Otherwise the gateway may be
+ *   disconnected from the replicas.
+ *   200 is always wrong for a dropped route if the same process has served a
+ *   route of the version that dropped it, or of a later one.
  */
 #ifndef BANKBANK_TESTS_ROUTES_H
 #define BANKBANK_TESTS_ROUTES_H
@@ -28,47 +27,47 @@
 #include <stdint.h>
 
 enum {
-    ROUTES_KEPT = 40,       /**< Versions that hold a route. */
-    ROUTES_APPLY_MS = 2500, /**< An acknowledged version is in force everywhere by then. */
-    ROUTES_TOUCH_MS = 4500, /**< A gateway is in touch when nothing was done to anyone for so long. */
-    ROUTES_NEAR = 3,        /**< The newest such versions are asked for. */
-    ROUTES_VERSIONS = 1 << 16
+    ROUTES_KEPT = 40,          /**< Number of versions that contain a route. */
+    ROUTES_APPLY_MS = 2500,    /**< Time until an acknowledged version is in force at all gateways. */
+    ROUTES_RECOVERY_MS = 4500, /**< Time after a fault until gateways are connected again. */
+    ROUTES_RECENT = 3,         /**< Requests pick one of this many newest versions. */
+    ROUTES_MAX_VERSION = 1 << 16
 };
 
-/** What one request asks for. */
-typedef struct routes_asked_t {
-    uint64_t version; /**< Its route's version. */
-    bool due;         /**< It was acknowledged long enough ago. */
-    bool dropped;     /**< A version that was acknowledged long enough ago has dropped it. */
-    int daemon;       /**< The gateway. */
-    uint64_t life;    /**< Its process. */
-    uint64_t seen;    /**< The newest version that this process has shown. */
-    uint64_t sent_ms; /**< When it is sent. */
-} routes_asked_t;
+typedef struct routes_request_t {
+    uint64_t version;       /**< Version that added the route. */
+    bool in_force;          /**< `version` was acknowledged ROUTES_APPLY_MS ago. */
+    bool dropped;           /**< The version that drops the route was acknowledged ROUTES_APPLY_MS ago. */
+    int daemon;             /**< Index of the gateway's daemon. */
+    uint64_t incarnation;   /**< Of the daemon; see fault_log.h. */
+    uint64_t newest_served; /**< Newest version whose route this process served; 0 for none. */
+    uint64_t sent_ms;       /**< Monotonic clock. */
+} routes_request_t;
 
-/** The first version is in force. */
-void routes_open(void);
+/** Records version 1 as acknowledged; call it before the threads start. */
+void routes_init(void);
 
-/** Takes the next version's number, to be sent. */
-uint64_t routes_next(void);
+/** Returns the number of the next version to send. */
+uint64_t routes_next_version(void);
 
-/** Notes that a version was acknowledged; tells the newest that was. */
-void routes_acknowledged(uint64_t version);
-uint64_t routes_newest(void);
+void routes_record_acknowledged(uint64_t version);
 
-/** Number of versions that were acknowledged. */
-uint64_t routes_count(void);
+/** Returns the newest acknowledged version. */
+uint64_t routes_acknowledged_version(void);
 
-/** Most servers that the route of a version allows: one or two, in turn. */
-int routes_servers(uint64_t version);
+/** Returns the number of acknowledgements. */
+uint64_t routes_acknowledged_count(void);
 
-/** A version's configuration; the caller frees it. */
+/** Returns how many servers may start a request for the version's route: one if it is even, two if odd. */
+int routes_max_servers(uint64_t version);
+
+/** Returns the text of a version's configuration; the caller frees it. */
 char *routes_configuration(uint64_t version);
 
-/** Chooses what to ask of a gateway, just before it is sent; false: there is nothing yet. */
-bool routes_choose(uint64_t *seed, int daemon, routes_asked_t *asked);
+/** Chooses a route to request from a gateway; call it just before sending. False if there is none yet. */
+bool routes_choose(uint64_t *seed, int daemon, routes_request_t *request);
 
-/** Judges the answer's status as soon as it has come. */
-void routes_judge(const routes_asked_t *asked, int status);
+/** Checks the answer's status; call it as soon as the answer is read. */
+void routes_check_status(const routes_request_t *request, int status);
 
 #endif
--- a/tests/soak/soak.c
+++ b/tests/soak/soak.c
@@ -1,13 +1,14 @@
 /*
- * The fault soak: real daemons as processes of their own, faults from outside
- * them, and an oracle that judges by what callers and servers see.
+ * Soak test: runs the daemons as processes, injects faults, and checks the
+ * invariants of oracle.h.
  *
  * Usage: soak BUILD SECONDS SEED [REPLICAS [GATEWAYS]]
  *
- * Three replicas and two gateways at least; as many where nothing else is said.
- * The seed fixes the faults and what callers ask for, not the order in which
- * threads and processes run. A violation ends the run; the folder with logs
- * and data is kept then.
+ * BUILD is the build directory. REPLICAS is three by default and GATEWAYS two,
+ * which are also the minimums. SEED determines the faults and the requests, but
+ * not the scheduling of threads and processes.
+ *
+ * The first violation ends the run and keeps the directory with logs and data.
  */
 #include <stdio.h>
 
@@ -16,43 +17,43 @@
 #include "callers.h"
 #include "daemons.h"
 #include "faults.h"
-#include "lives.h"
+#include "fault_log.h"
 #include "oracle.h"
 
-enum { MEMORY_MB = 64, END_S = 150 /* for the end of all faults and the last checks */ };
+enum { MEMORY_LIMIT_MB = 64, FINISH_TIMEOUT_S = 150 /* for recovery and the final checks */ };
 
 static uint64_t seconds;
 static uint64_t seed;
-static int replicas = SITE_STATES;
+static int replicas = SITE_REPLICAS;
 static int gateways = SITE_GATEWAYS;
 
-/* Since they were last started. */
+/* Counts only since the last start of each replica. */
 static double count_snapshots(void)
 {
     double snapshots = 0;
     for (int i = 0; i < replicas; i++) {
-        snapshots += site_metric(site_state_daemon(i), "raft_snapshots_total");
+        snapshots += site_metric(site_replica_daemon(i), "raft_snapshots_total");
     }
     return snapshots;
 }
 
-START_TEST(promises_hold_under_faults)
+START_TEST(invariants_hold_under_faults)
 {
-    site_limit_memory(MEMORY_MB);
-    site_store_on_disk(); /* its callers ask again, and real syncs are a part of what is tried */
-    site_start_shape(replicas, gateways);
-    daemons_open(replicas, gateways);
-    site_echo(oracle_run);
+    site_limit_memory(MEMORY_LIMIT_MB);
+    site_store_on_disk(); /* to test fsync(); callers retry if it is slow */
+    site_start_sized(replicas, gateways);
+    daemons_init(replicas, gateways);
+    site_echo_ids(oracle_record_run);
     site_use_proxies();
     callers_start(seed);
     faults_run(seed, seconds * 1000);
     faults_end();
     callers_stop();
-    int violations = oracle_end();
-    callers_sum_t sum = callers_sum();
-    printf("soak seed %llu: %d faults, %llu calls, %llu on kept connections, %llu served, %llu refused, %llu turns, "
+    int violations = oracle_finish();
+    callers_counters_t sum = callers_counters();
+    printf("soak seed %llu: %d faults, %llu calls, %llu on reused connections, %llu served, %llu refused, %llu turns, "
            "%llu configurations, %.0f snapshots, %d violations\n",
-           (unsigned long long)seed, faults_count(), (unsigned long long)sum.calls, (unsigned long long)sum.kept,
+           (unsigned long long)seed, faults_count(), (unsigned long long)sum.calls, (unsigned long long)sum.reused,
            (unsigned long long)sum.served, (unsigned long long)sum.refused, (unsigned long long)sum.turns,
            (unsigned long long)sum.configurations, count_snapshots(), violations);
     site_stop();
@@ -64,8 +65,8 @@
 {
     replicas = argc > 4 ? atoi(argv[4]) : replicas;
     gateways = argc > 5 ? atoi(argv[5]) : gateways;
-    if (argc < 4 || argc > 6 || replicas < SITE_STATES || gateways < SITE_GATEWAYS ||
-        replicas + gateways > LIVES_MOST - SITE_STATES) {
+    if (argc < 4 || argc > 6 || replicas < SITE_REPLICAS || gateways < SITE_GATEWAYS ||
+        replicas + gateways > FAULT_LOG_MAX_DAEMONS - SITE_REPLICAS) {
         fprintf(stderr, "usage: soak BUILD SECONDS SEED [REPLICAS [GATEWAYS]]\n");
         return EXIT_FAILURE;
     }
@@ -74,8 +75,8 @@
     seed = strtoull(argv[3], NULL, 10);
     Suite *suite = suite_create("soak");
     TCase *tests = tcase_create("one site");
-    tcase_set_timeout(tests, (double)(seconds + END_S));
-    tcase_add_test(tests, promises_hold_under_faults);
+    tcase_set_timeout(tests, (double)(seconds + FINISH_TIMEOUT_S));
+    tcase_add_test(tests, invariants_hold_under_faults);
     suite_add_tcase(suite, tests);
-    return suite_run_in_process(suite);
+    return suite_run_without_fork(suite);
 }
--- a/tests/support/texts.h
+++ b/tests/support/memory_history.h
@@ -1,17 +1,17 @@
 /**
- * @file texts.h
- * Text storage of a ledger in memory, for tests.
+ * @file memory_history.h
+ * In-memory history store for tests of the ledger.
  */
-#ifndef BANKBANK_TESTS_TEXTS_H
-#define BANKBANK_TESTS_TEXTS_H
+#ifndef BANKBANK_TESTS_MEMORY_HISTORY_H
+#define BANKBANK_TESTS_MEMORY_HISTORY_H
 
 #include "base/buffer.h"
 #include "core/history.h"
 
-/** All texts; close it after the ledger. */
+/** All stored texts; close the buffer after the ledger. */
 static struct buffer texts;
 
-static void texts_keep(void *context, struct view text, struct history_ref *ref)
+static void texts_append(void *context, struct view text, struct history_ref *ref)
 {
     (void)context;
     ref->segment = 1;
@@ -33,7 +33,6 @@
     (void)ref;
 }
 
-/** Storage to start a ledger with. */
-static const struct history_io texts_history = {NULL, texts_keep, texts_read, texts_ignore, texts_ignore, NULL};
+static const struct history_io texts_history = {NULL, texts_append, texts_read, texts_ignore, texts_ignore, NULL};
 
 #endif
--- a/tests/unit/control_client.c
+++ b/tests/unit/control_client.c
@@ -1,37 +1,37 @@
-/* A daemon's control client, by itself. */
+/* Tests the control client without a network: resends, leader changes and late replies. */
 #include <string.h>
 
 #include "base/message.h"
 #include "core/control_client.h"
 #include "suite.h"
 
-enum { REPLICA = 1, OTHER = 2, NODE = 7, NOW_MS = 1000 };
+enum { REPLICA = 1, OTHER_REPLICA = 2, NODE = 7, NOW_MS = 1000 };
 
-static uint64_t sent_request;
-static uint32_t sends;
+static uint64_t last_request_id;
+static uint32_t send_count;
 static uint32_t last_target;
-static uint32_t completed;
+static uint32_t completed_count;
 
-static bool note_sent(void *context, uint32_t to, struct view bytes)
+static bool record_send(void *context, uint32_t to, struct view bytes)
 {
     Frame frame = {0};
     (void)context;
     last_target = to;
     if (message_decode(bytes, Frame_fields, &frame) && frame.which_payload == Frame_request_tag) {
-        sent_request = frame.payload.request.id;
-        sends++;
+        last_request_id = frame.payload.request.id;
+        send_count++;
     }
     message_free(Frame_fields, &frame);
     return true;
 }
 
-static void note_completed(void *context, void *token, ResultCode code, struct view body)
+static void record_completion(void *context, void *token, ResultCode code, struct view body)
 {
     (void)context;
     (void)token;
     (void)code;
     (void)body;
-    completed++;
+    completed_count++;
 }
 
 static void ignore_config(void *context, const struct config_store *config)
@@ -44,44 +44,42 @@
 {
     struct control_client_config config = {
         .node = NODE, .boot_id = boot_id, .groups = 1, .replica_count = 1, .replicas = {REPLICA}};
-    struct control_client_io io = {NULL, note_sent, note_completed, ignore_config};
+    struct control_client_io io = {NULL, record_send, record_completion, ignore_config};
     control_client_init(client, &config, &io);
 }
 
-/* A gateway of a site: it sends requests and no heartbeats. */
-static void start_site(struct control_client *client, uint64_t boot_id)
+/* Starts a client that sends requests but no heartbeats. */
+static void start_requests_only(struct control_client *client, uint64_t boot_id)
 {
     start(client, boot_id);
     client->config.requests_only = true;
 }
 
-/* Found by the simulator: a restarted gateway took the late answer to a request
- * of its earlier start for the answer to its own first request, and ran a call
- * whose begin was not committed. */
-START_TEST(an_answer_to_an_earlier_start_is_ignored)
+/* Otherwise a restarted gateway could run a call whose start is not committed. */
+START_TEST(reply_to_previous_process_is_ignored)
 {
     struct control_client client;
     start(&client, 1);
     control_client_submit(&client, NOW_MS, 0, REQUEST_CONFIG, view_of_string("q"), NOW_MS + 5000, &client);
-    uint64_t earlier = sent_request;
+    uint64_t earlier_id = last_request_id;
     control_client_close(&client);
-    completed = 0;
+    completed_count = 0;
     start(&client, 2);
     control_client_submit(&client, NOW_MS, 0, REQUEST_CONFIG, view_of_string("q"), NOW_MS + 5000, &client);
     Frame frame = {0};
     frame.which_payload = Frame_reply_tag;
-    frame.payload.reply.id = earlier;
+    frame.payload.reply.id = earlier_id;
     frame.payload.reply.code = RESULT_OK;
     control_client_receive(&client, NOW_MS + 1, REPLICA, &frame);
-    ck_assert_uint_eq(completed, 0);
-    frame.payload.reply.id = sent_request;
+    ck_assert_uint_eq(completed_count, 0);
+    frame.payload.reply.id = last_request_id;
     control_client_receive(&client, NOW_MS + 2, REPLICA, &frame);
-    ck_assert_uint_eq(completed, 1);
+    ck_assert_uint_eq(completed_count, 1);
     control_client_close(&client);
 }
 END_TEST
 
-static void answer_not_leader(struct control_client *client, uint64_t now_ms, uint64_t request)
+static void reply_not_leader(struct control_client *client, uint64_t now_ms, uint64_t request)
 {
     Frame frame = {0};
     frame.which_payload = Frame_reply_tag;
@@ -90,92 +88,94 @@
     control_client_receive(client, now_ms, REPLICA, &frame);
 }
 
-/* Sends in a second without a leader. */
-static uint32_t sends_in_a_second(struct control_client *client)
+/* Counts the sends while no replica is the leader. */
+static uint32_t count_sends_in_one_second(struct control_client *client)
 {
-    sends = 0;
+    send_count = 0;
     for (uint64_t now_ms = NOW_MS; now_ms < NOW_MS + 1000; now_ms++) {
-        uint32_t before = sends;
+        uint32_t before = send_count;
         control_client_tick(client, now_ms);
-        if (sends > before) {
-            answer_not_leader(client, now_ms, sent_request);
+        if (send_count > before) {
+            reply_not_leader(client, now_ms, last_request_id);
         }
     }
-    return sends;
+    return send_count;
 }
 
-START_TEST(a_request_that_nobody_waits_for_pauses_longer)
+START_TEST(background_request_retries_less_often)
 {
     struct control_client client;
-    start_site(&client, 1);
-    control_client_post(&client, NOW_MS, 0, REQUEST_PROPOSE, view_of_string("q"), NOW_MS + 60000, &client);
-    answer_not_leader(&client, NOW_MS, sent_request);
-    ck_assert_uint_le(sends_in_a_second(&client), 4);
+    start_requests_only(&client, 1);
+    control_client_submit_background(&client, NOW_MS, 0, REQUEST_PROPOSE, view_of_string("q"), NOW_MS + 60000, &client);
+    reply_not_leader(&client, NOW_MS, last_request_id);
+    ck_assert_uint_le(count_sends_in_one_second(&client), 4);
     control_client_close(&client);
-    start_site(&client, 2);
+    start_requests_only(&client, 2);
     control_client_submit(&client, NOW_MS, 0, REQUEST_PROPOSE, view_of_string("q"), NOW_MS + 60000, &client);
-    answer_not_leader(&client, NOW_MS, sent_request);
-    ck_assert_uint_ge(sends_in_a_second(&client), 40);
+    reply_not_leader(&client, NOW_MS, last_request_id);
+    ck_assert_uint_ge(count_sends_in_one_second(&client), 40);
     control_client_close(&client);
 }
 END_TEST
 
-/* A turn's settlement must not come after the next turn of its program is refused. */
-START_TEST(a_paused_request_goes_on_once_a_leader_is_known)
+/* A request that waits for its retry is sent as soon as a leader is known: until a turn is settled, the program's next
+ * turn may be refused. */
+START_TEST(waiting_request_is_sent_when_leader_is_known)
 {
     struct control_client client;
-    start_site(&client, 1);
-    control_client_post(&client, NOW_MS, 0, REQUEST_PROPOSE, view_of_string("q"), NOW_MS + 60000, &client);
-    uint64_t paused = sent_request;
-    answer_not_leader(&client, NOW_MS, paused);
+    start_requests_only(&client, 1);
+    control_client_submit_background(&client, NOW_MS, 0, REQUEST_PROPOSE, view_of_string("q"), NOW_MS + 60000, &client);
+    uint64_t waiting_id = last_request_id;
+    reply_not_leader(&client, NOW_MS, waiting_id);
     control_client_submit(&client, NOW_MS + 10, 0, REQUEST_PROPOSE, view_of_string("r"), NOW_MS + 5000, &client);
     Frame frame = {0};
     frame.which_payload = Frame_reply_tag;
-    frame.payload.reply.id = sent_request;
+    frame.payload.reply.id = last_request_id;
     frame.payload.reply.code = RESULT_OK;
-    frame.payload.reply.leader = OTHER;
+    frame.payload.reply.leader = OTHER_REPLICA;
     control_client_receive(&client, NOW_MS + 11, REPLICA, &frame);
     control_client_tick(&client, NOW_MS + 12);
-    ck_assert_uint_eq(sent_request, paused);
+    ck_assert_uint_eq(last_request_id, waiting_id);
     control_client_close(&client);
 }
 END_TEST
 
-/* What asks a slow leader again makes it slower; one that has fallen silent is left. */
-START_TEST(a_leader_that_is_heard_is_not_asked_again_soon)
+/* Requests to a slow leader are resent late, as resends add to its load; those to a silent leader after the usual
+ * CONTROL_RESEND_MS. */
+START_TEST(request_to_slow_leader_is_resent_late)
 {
     struct control_client client;
-    start_site(&client, 1);
+    start_requests_only(&client, 1);
     client.leaders[0] = REPLICA;
-    sends = 0;
+    send_count = 0;
     control_client_submit(&client, NOW_MS, 0, REQUEST_PROPOSE, view_of_string("q"), NOW_MS + 5000, &client);
-    for (uint64_t now_ms = NOW_MS + 1; now_ms < NOW_MS + CONTROL_SLOW_MS; now_ms++) {
-        control_client_note_heard(&client, now_ms, REPLICA);
+    for (uint64_t now_ms = NOW_MS + 1; now_ms < NOW_MS + CONTROL_SLOW_LEADER_RESEND_MS; now_ms++) {
+        control_client_record_received(&client, now_ms, REPLICA);
         control_client_tick(&client, now_ms);
     }
-    ck_assert_uint_eq(sends, 1);
-    control_client_tick(&client, NOW_MS + CONTROL_SLOW_MS);
-    ck_assert_uint_eq(sends, 2);
+    ck_assert_uint_eq(send_count, 1);
+    control_client_tick(&client, NOW_MS + CONTROL_SLOW_LEADER_RESEND_MS);
+    ck_assert_uint_eq(send_count, 2);
     for (uint64_t after_ms = 1; after_ms <= CONTROL_RESEND_MS; after_ms++) {
-        control_client_tick(&client, NOW_MS + CONTROL_SLOW_MS + after_ms);
+        control_client_tick(&client, NOW_MS + CONTROL_SLOW_LEADER_RESEND_MS + after_ms);
     }
-    ck_assert_uint_eq(sends, 3);
+    ck_assert_uint_eq(send_count, 3);
     control_client_close(&client);
 }
 END_TEST
 
-/* A gateway need not guess where its watch has told it the leader, nor wait for one that is silent. */
-START_TEST(a_leader_told_by_others_is_asked)
+/* A hint is used while no leader is known and when the presumed leader is silent, but not against a live leader. */
+START_TEST(hinted_leader_receives_requests)
 {
     struct control_client client;
-    start_site(&client, 1);
-    control_client_hint_leader(&client, NOW_MS, 0, OTHER);
+    start_requests_only(&client, 1);
+    control_client_hint_leader(&client, NOW_MS, 0, OTHER_REPLICA);
     control_client_submit(&client, NOW_MS, 0, REQUEST_PROPOSE, view_of_string("q"), NOW_MS + 5000, &client);
-    ck_assert_uint_eq(last_target, OTHER);
-    control_client_note_heard(&client, NOW_MS + 1, OTHER);
+    ck_assert_uint_eq(last_target, OTHER_REPLICA);
+    control_client_record_received(&client, NOW_MS + 1, OTHER_REPLICA);
     control_client_hint_leader(&client, NOW_MS + 2, 0, REPLICA);
     control_client_tick(&client, NOW_MS + 3);
-    ck_assert_uint_eq(last_target, OTHER);
+    ck_assert_uint_eq(last_target, OTHER_REPLICA);
     control_client_hint_leader(&client, NOW_MS + 1 + CONTROL_RESEND_MS, 0, REPLICA);
     control_client_tick(&client, NOW_MS + 2 + CONTROL_RESEND_MS);
     ck_assert_uint_eq(last_target, REPLICA);
@@ -186,12 +186,12 @@
 int main(void)
 {
     Suite *suite = suite_create("control client");
-    TCase *tests = tcase_create("pure");
-    tcase_add_test(tests, an_answer_to_an_earlier_start_is_ignored);
-    tcase_add_test(tests, a_request_that_nobody_waits_for_pauses_longer);
-    tcase_add_test(tests, a_paused_request_goes_on_once_a_leader_is_known);
-    tcase_add_test(tests, a_leader_that_is_heard_is_not_asked_again_soon);
-    tcase_add_test(tests, a_leader_told_by_others_is_asked);
+    TCase *tests = tcase_create("requests");
+    tcase_add_test(tests, reply_to_previous_process_is_ignored);
+    tcase_add_test(tests, background_request_retries_less_often);
+    tcase_add_test(tests, waiting_request_is_sent_when_leader_is_known);
+    tcase_add_test(tests, request_to_slow_leader_is_resent_late);
+    tcase_add_test(tests, hinted_leader_receives_requests);
     suite_add_tcase(suite, tests);
     return suite_run(suite);
 }
--- a/tests/unit/http_reader.c
+++ b/tests/unit/http_reader.c
@@ -1,4 +1,4 @@
-/* HTTP messages, events and JSON as they come from outside: whole, torn and forged. */
+/* Parsing of HTTP messages, server-sent events and JSON: complete, fragmented and malformed. */
 #include <stdio.h>
 #include <string.h>
 
@@ -53,12 +53,12 @@
     buffer_close(&body);
 }
 
-/* Feeds in steps of `step` bytes, as a network may tear a message. */
+/* Feeds `step` bytes at a time. */
 static size_t feed(const char *text, size_t step)
 {
     size_t length = strlen(text);
     size_t position = 0;
-    while (position < length && reader.fault == HTTP_FAULT_NONE && !reader.complete) {
+    while (position < length && reader.error == HTTP_PARSE_ERROR_NONE && !reader.complete) {
         size_t size = length - position < step ? length - position : step;
         position += http_reader_feed(&reader, (const uint8_t *)text + position, size);
     }
@@ -74,14 +74,14 @@
         buffer_clear(&text);
         buffer_printf(&text, "POST /x HTTP/1.1\r\n%s\r\n%s", item->lines, item->body);
         feed(buffer_text(&text), step);
-        ck_assert_msg(reader.fault == HTTP_FAULT_MALFORMED && !reader.complete, "%s", item->name);
+        ck_assert_msg(reader.error == HTTP_PARSE_ERROR_MALFORMED && !reader.complete, "%s", item->name);
         stop();
     }
     buffer_close(&text);
 }
 END_TEST
 
-START_TEST(torn_messages_are_put_together)
+START_TEST(fragmented_messages_are_reassembled)
 {
     static const char text[] = "POST /x?y HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
                                "3\r\nabc\r\n2;ext=1\r\nde\r\n0\r\n\r\nGET / HTTP/1.1\r\n";
@@ -96,7 +96,7 @@
 }
 END_TEST
 
-START_TEST(limits_have_faults_of_their_own)
+START_TEST(exceeded_limits_have_their_own_faults)
 {
     struct buffer text = {0};
     buffer_append_text(&text, "GET / HTTP/1.1\r\nHost: h\r\nX: ");
@@ -105,7 +105,7 @@
     }
     start(HTTP_REQUEST);
     feed(buffer_text(&text), 100);
-    ck_assert_int_eq(reader.fault, HTTP_FAULT_HEAD_TOO_LARGE);
+    ck_assert_int_eq(reader.error, HTTP_PARSE_ERROR_HEAD_TOO_LARGE);
     stop();
     buffer_clear(&text);
     buffer_append_text(&text, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3000\r\n\r\n");
@@ -114,13 +114,13 @@
     }
     start(HTTP_REQUEST);
     feed(buffer_text(&text), 100);
-    ck_assert_int_eq(reader.fault, HTTP_FAULT_BODY_TOO_LARGE);
+    ck_assert_int_eq(reader.error, HTTP_PARSE_ERROR_BODY_TOO_LARGE);
     stop();
     buffer_close(&text);
 }
 END_TEST
 
-START_TEST(an_answer_may_end_with_its_connection)
+START_TEST(response_body_may_end_with_the_connection)
 {
     start(HTTP_RESPONSE);
     feed("HTTP/1.1 200 OK\r\nX: y\r\n\r\nabc", 5);
@@ -132,44 +132,44 @@
 }
 END_TEST
 
-START_TEST(a_short_answer_is_cut)
+START_TEST(incomplete_response_is_truncated)
 {
-    static const char *const cut[] = {
+    static const char *const truncated[] = {
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n",
         "HTTP/1.1 200 OK\r\nContent-Le",
     };
     for (int i = 0; i < 3; i++) {
         start(HTTP_RESPONSE);
-        feed(cut[i], 7);
+        feed(truncated[i], 7);
         http_reader_end(&reader);
         ck_assert(!reader.complete);
-        ck_assert_int_eq(reader.fault, HTTP_FAULT_CUT);
+        ck_assert_int_eq(reader.error, HTTP_PARSE_ERROR_TRUNCATED);
         stop();
     }
 }
 END_TEST
 
-START_TEST(bytes_that_are_no_answer_are_malformed)
+START_TEST(invalid_responses_are_malformed)
 {
-    static const char *const wrong[] = {"\x16\x03\x01 garbage\r\n\r\n", "HTTP/1.1 200 OK\r\nBad Name: x\r\n\r\n",
-                                        "HTTP/2.0 200 OK\r\n\r\n", "HTTP/1.1 2x0 OK\r\n\r\n"};
+    static const char *const invalid[] = {"\x16\x03\x01 garbage\r\n\r\n", "HTTP/1.1 200 OK\r\nBad Name: x\r\n\r\n",
+                                          "HTTP/2.0 200 OK\r\n\r\n", "HTTP/1.1 2x0 OK\r\n\r\n"};
     for (int i = 0; i < 4; i++) {
         start(HTTP_RESPONSE);
-        feed(wrong[i], 3);
-        ck_assert_msg(reader.fault == HTTP_FAULT_MALFORMED, "%s", wrong[i]);
+        feed(invalid[i], 3);
+        ck_assert_msg(reader.error == HTTP_PARSE_ERROR_MALFORMED, "%s", invalid[i]);
         stop();
     }
 }
 END_TEST
 
-START_TEST(headers_of_one_connection_are_known)
+START_TEST(hop_by_hop_headers_are_recognized)
 {
     start(HTTP_REQUEST);
     feed("GET / HTTP/1.1\r\nHost: h\r\nConnection: close, X-Own\r\nX-Own: 1\r\nX-Other: 2\r\n\r\n", 9);
-    ck_assert(http_reader_is_hop_header(&reader, view_of_string("x-own")));
-    ck_assert(http_reader_is_hop_header(&reader, view_of_string("Keep-Alive")));
-    ck_assert(!http_reader_is_hop_header(&reader, view_of_string("X-Other")));
+    ck_assert(http_reader_is_hop_by_hop(&reader, view_of_string("x-own")));
+    ck_assert(http_reader_is_hop_by_hop(&reader, view_of_string("Keep-Alive")));
+    ck_assert(!http_reader_is_hop_by_hop(&reader, view_of_string("X-Other")));
     ck_assert(!reader.keep_alive);
     stop();
 }
@@ -187,7 +187,7 @@
     return true;
 }
 
-START_TEST(events_are_passed_whole)
+START_TEST(only_complete_events_are_passed_on)
 {
     static const char text[] = "id: 1\ndata: one\n\nid:2\r\ndata: two\r\ndata: more\r\n\r\nid: 3\ndata: cut";
     for (size_t step = 1; step < 30; step++) {
@@ -198,7 +198,7 @@
             ck_assert(event_stream_feed(&stream, view_of(text + at, size), on_event, NULL));
         }
         ck_assert_str_eq(buffer_text(&seen), "[1=one][2=two\nmore]");
-        ck_assert(event_stream_is_inside(&stream));
+        ck_assert(event_stream_has_partial(&stream));
         event_stream_close(&stream);
     }
     buffer_close(&seen);
@@ -207,7 +207,7 @@
 
 /* ---- JSON ------------------------------------------------------------------------- */
 
-START_TEST(deep_json_is_refused_before_it_is_parsed)
+START_TEST(deeply_nested_json_is_rejected)
 {
     struct buffer text = {0};
     struct json_input_error error;
@@ -215,13 +215,13 @@
         buffer_append(&text, "[", 1);
     }
     ck_assert_ptr_null(json_input_parse(buffer_view(&text), &error));
-    ck_assert_int_eq(error.fault, JSON_INPUT_TOO_DEEP);
+    ck_assert_int_eq(error.kind, JSON_INPUT_TOO_DEEP);
     buffer_close(&text);
     json_t *root = json_input_parse(view_of_string("{\"a\":\"[[[\\\"[[\"}"), &error);
     ck_assert_ptr_nonnull(root);
     json_decref(root);
     ck_assert_ptr_null(json_input_parse(view_of_string("{\"a\":1,\"a\":2}"), &error));
-    ck_assert_int_eq(error.fault, JSON_INPUT_MALFORMED);
+    ck_assert_int_eq(error.kind, JSON_INPUT_MALFORMED);
     ck_assert_ptr_null(json_input_parse(view_of(NULL, 0), NULL));
 }
 END_TEST
@@ -252,7 +252,7 @@
         start(HTTP_REQUEST);
         snprintf(text, sizeof(text), "GET / HTTP/1.1\r\nHost: h\r\n%s\r\n", cases[i].lines);
         feed(text, 1);
-        ck_assert_int_eq(reader.fault, HTTP_FAULT_NONE);
+        ck_assert_int_eq(reader.error, HTTP_PARSE_ERROR_NONE);
         expect_cookie(cases[i].expected);
         stop();
     }
@@ -264,15 +264,15 @@
     Suite *suite = suite_create("http_reader");
     TCase *tests = tcase_create("messages");
     tcase_add_loop_test(tests, ambiguous_framing_is_malformed, 0, FRAMING_CASES);
-    tcase_add_test(tests, torn_messages_are_put_together);
-    tcase_add_test(tests, limits_have_faults_of_their_own);
-    tcase_add_test(tests, an_answer_may_end_with_its_connection);
-    tcase_add_test(tests, a_short_answer_is_cut);
-    tcase_add_test(tests, bytes_that_are_no_answer_are_malformed);
-    tcase_add_test(tests, headers_of_one_connection_are_known);
-    tcase_add_test(tests, events_are_passed_whole);
+    tcase_add_test(tests, fragmented_messages_are_reassembled);
+    tcase_add_test(tests, exceeded_limits_have_their_own_faults);
+    tcase_add_test(tests, response_body_may_end_with_the_connection);
+    tcase_add_test(tests, incomplete_response_is_truncated);
+    tcase_add_test(tests, invalid_responses_are_malformed);
+    tcase_add_test(tests, hop_by_hop_headers_are_recognized);
+    tcase_add_test(tests, only_complete_events_are_passed_on);
     tcase_add_test(tests, a_cookie_is_found_among_others);
-    tcase_add_test(tests, deep_json_is_refused_before_it_is_parsed);
+    tcase_add_test(tests, deeply_nested_json_is_rejected);
     suite_add_tcase(suite, tests);
     return suite_run(suite);
 }
--- a/tests/unit/ledger.c
+++ b/tests/unit/ledger.c
@@ -1,11 +1,11 @@
-/* The ledger's answers to single entries; sequences are the simulator's part. */
+/* Results of single ledger entries and short sequences; the simulator covers long ones. */
 #include <stdio.h>
 #include <string.h>
 
 #include "base/message.h"
 #include "core/ledger.h"
 #include "suite.h"
-#include "support/texts.h"
+#include "support/memory_history.h"
 
 static struct ledger ledger;
 static EntryResult result;
@@ -136,7 +136,7 @@
     ck_assert_int_eq(begin("p1-a", 1, 1), RESULT_OK);
     ck_assert_uint_eq(result.granted_tokens, 20);
     ck_assert_int_eq(finish("p1-a", 1, 1), RESULT_OK);
-    /* 25 left, the next prompt is bounded by 30 + 10 */
+    /* 25 tokens are left, and the prompt may take 30 + 10 */
     ck_assert_int_eq(begin("p1-a", 2, 2), RESULT_BUDGET);
     ck_assert_uint_eq(ledger_find(&ledger, "p1-a")->spent, 30);
     ck_assert_uint_eq(ledger_find(&ledger, "p1-a")->reserved, 0);
@@ -157,31 +157,31 @@
 }
 END_TEST
 
-START_TEST(a_lost_gateways_call_is_taken_over_only_if_repeatable)
+START_TEST(a_lost_call_is_retried_only_if_repeatable)
 {
     create("p1-a", NULL, 0);
     begin("p1-a", 1, 1);
-    Entry again = begin_entry("p1-a", 1, 2);
-    ck_assert_int_eq(apply(&again, true), RESULT_OK);
+    Entry retry = begin_entry("p1-a", 1, 2);
+    ck_assert_int_eq(apply(&retry, true), RESULT_OK);
     ck_assert_int_eq(finish("p1-a", 1, 1), RESULT_STALE_ATTEMPT);
     ck_assert_int_eq(finish("p1-a", 1, 2), RESULT_OK);
-    Entry once = begin_entry("p1-a", 2, 3);
-    once.command.call_begin.repeatable = false;
-    ck_assert_int_eq(apply(&once, false), RESULT_OK);
-    once.command.call_begin.attempt = attempt_id(4);
-    ck_assert_int_eq(apply(&once, true), RESULT_UNKNOWN);
-    ck_assert_int_eq(apply(&once, true), RESULT_UNKNOWN);
+    Entry unrepeatable = begin_entry("p1-a", 2, 3);
+    unrepeatable.command.call_begin.repeatable = false;
+    ck_assert_int_eq(apply(&unrepeatable, false), RESULT_OK);
+    unrepeatable.command.call_begin.attempt = attempt_id(4);
+    ck_assert_int_eq(apply(&unrepeatable, true), RESULT_UNKNOWN);
+    ck_assert_int_eq(apply(&unrepeatable, true), RESULT_UNKNOWN);
     ck_assert_int_eq(begin("p1-a", 3, 5), RESULT_OK);
 }
 END_TEST
 
-/* The lost attempt may have run, so a refusal for lack of budget must not say otherwise. */
+/* The lost attempt may have run, so the result must be unknown and not a budget refusal. */
 START_TEST(a_lost_call_without_budget_for_another_attempt_is_unknown)
 {
     create("p1-a", NULL, 35);
     ck_assert_int_eq(begin("p1-a", 1, 1), RESULT_OK);
-    Entry again = begin_entry("p1-a", 1, 2);
-    ck_assert_int_eq(apply(&again, true), RESULT_UNKNOWN);
+    Entry retry = begin_entry("p1-a", 1, 2);
+    ck_assert_int_eq(apply(&retry, true), RESULT_UNKNOWN);
     ck_assert_int_eq(begin("p1-a", 1, 3), RESULT_UNKNOWN);
     ck_assert_int_eq(begin("p1-a", 2, 4), RESULT_BUDGET);
 }
@@ -206,24 +206,24 @@
     ck_assert_int_eq(begin("p1-a", 1, 2), RESULT_OK);
     ck_assert_uint_eq(ledger_find(&ledger, "p1-a")->spent, 30); /* the lost attempt stays charged */
     ck_assert_int_eq(finish("p1-a", 1, 2), RESULT_OK);
-    Entry once = begin_entry("p1-a", 2, 3);
-    once.command.call_begin.repeatable = false;
-    ck_assert_int_eq(apply(&once, false), RESULT_OK);
+    Entry unrepeatable = begin_entry("p1-a", 2, 3);
+    unrepeatable.command.call_begin.repeatable = false;
+    ck_assert_int_eq(apply(&unrepeatable, false), RESULT_OK);
     ck_assert_int_eq(abort_call("p1-a", 2, 3, ABORT_UNKNOWN), RESULT_OK);
-    once.command.call_begin.attempt = attempt_id(4);
-    ck_assert_int_eq(apply(&once, false), RESULT_UNKNOWN);
+    unrepeatable.command.call_begin.attempt = attempt_id(4);
+    ck_assert_int_eq(apply(&unrepeatable, false), RESULT_UNKNOWN);
     ck_assert_int_eq(begin("p1-a", 3, 5), RESULT_OK);
 }
 END_TEST
 
-/* An attempt that follows a lost one and does not run itself proves nothing about the lost one. */
-START_TEST(an_abort_after_a_lost_attempt_keeps_the_loss_in_mind)
+/* That a later attempt did not run proves nothing about the lost one. */
+START_TEST(an_abort_after_a_lost_attempt_does_not_clear_the_loss)
 {
     create("p1-a", NULL, 70);
     ck_assert_int_eq(begin("p1-a", 1, 1), RESULT_OK);
     ck_assert(!result.after_loss);
-    Entry again = begin_entry("p1-a", 1, 2);
-    ck_assert_int_eq(apply(&again, true), RESULT_OK);
+    Entry retry = begin_entry("p1-a", 1, 2);
+    ck_assert_int_eq(apply(&retry, true), RESULT_OK);
     ck_assert(result.after_loss);
     ck_assert_int_eq(abort_call("p1-a", 1, 2, ABORT_NOT_RUN), RESULT_OK);
     ck_assert_uint_eq(ledger_find(&ledger, "p1-a")->spent, 30);
@@ -231,11 +231,11 @@
     ck_assert_int_eq(begin("p1-a", 1, 3), RESULT_OK);
     ck_assert(result.after_loss);
     ck_assert_int_eq(abort_call("p1-a", 1, 3, ABORT_UNKNOWN), RESULT_OK);
-    ck_assert_int_eq(begin("p1-a", 1, 4), RESULT_UNKNOWN); /* the budget is short, and it may have run */
+    ck_assert_int_eq(begin("p1-a", 1, 4), RESULT_UNKNOWN); /* no budget for a retry, and an attempt may have run */
 }
 END_TEST
 
-START_TEST(a_repeatable_program_of_one_is_asked_again_by_its_key)
+START_TEST(a_single_call_program_is_retried_by_its_key)
 {
     Entry entry = begin_entry("s1-a", 1, 1);
     entry.command.call_begin.has_create = true;
@@ -251,7 +251,7 @@
 }
 END_TEST
 
-START_TEST(a_lost_call_may_be_left_behind)
+START_TEST(a_lost_call_may_be_abandoned)
 {
     create("p1-a", NULL, 0);
     ck_assert_int_eq(begin("p1-a", 1, 1), RESULT_OK);
@@ -261,7 +261,7 @@
     ck_assert_int_eq(finish("p1-a", 1, 1), RESULT_STALE_ATTEMPT);
     ck_assert_int_eq(finish("p1-a", 2, 2), RESULT_OK);
     ck_assert_int_eq(begin("p1-a", 1, 3), RESULT_UNKNOWN);
-    /* Without a number, another text is the next call. */
+    /* Without a call number, a different body begins the next call. */
     ck_assert_int_eq(begin("p1-a", 3, 4), RESULT_OK);
     ck_assert_int_eq(abort_call("p1-a", 3, 4, ABORT_UNKNOWN), RESULT_OK);
     Entry unnumbered = begin_entry("p1-a", 0, 5);
@@ -270,9 +270,8 @@
 }
 END_TEST
 
-/* Found by the simulator: a delayed copy of a begin started an attempt that
- * nobody ran, and held the program while its gateway lived. */
-START_TEST(an_overdue_attempt_is_taken_over)
+/* An attempt started by a delayed copy of a begin, which no gateway runs, must not block the program. */
+START_TEST(a_timed_out_attempt_is_replaced)
 {
     create("p1-a", NULL, 0);
     Entry entry = begin_entry("p1-a", 1, 1);
@@ -307,7 +306,7 @@
 }
 END_TEST
 
-START_TEST(a_program_of_one_leaves_nothing_behind)
+START_TEST(a_finished_single_call_program_is_removed)
 {
     Entry entry = begin_entry("s1-a", 1, 1);
     entry.command.call_begin.has_create = true;
@@ -438,16 +437,16 @@
     tcase_add_test(tests, the_first_finish_wins_and_is_replayed);
     tcase_add_test(tests, a_budget_is_reserved_and_never_exceeded);
     tcase_add_test(tests, a_child_spends_its_parents_budget);
-    tcase_add_test(tests, a_lost_gateways_call_is_taken_over_only_if_repeatable);
+    tcase_add_test(tests, a_lost_call_is_retried_only_if_repeatable);
     tcase_add_test(tests, an_aborted_attempt_cannot_begin_late);
     tcase_add_test(tests, a_lost_call_without_budget_for_another_attempt_is_unknown);
     tcase_add_test(tests, a_call_with_an_unknown_outcome_runs_again_only_if_repeatable);
-    tcase_add_test(tests, an_abort_after_a_lost_attempt_keeps_the_loss_in_mind);
-    tcase_add_test(tests, a_repeatable_program_of_one_is_asked_again_by_its_key);
-    tcase_add_test(tests, a_lost_call_may_be_left_behind);
-    tcase_add_test(tests, an_overdue_attempt_is_taken_over);
+    tcase_add_test(tests, an_abort_after_a_lost_attempt_does_not_clear_the_loss);
+    tcase_add_test(tests, a_single_call_program_is_retried_by_its_key);
+    tcase_add_test(tests, a_lost_call_may_be_abandoned);
+    tcase_add_test(tests, a_timed_out_attempt_is_replaced);
     tcase_add_test(tests, ending_releases_engine_memory_of_the_whole_tree);
-    tcase_add_test(tests, a_program_of_one_leaves_nothing_behind);
+    tcase_add_test(tests, a_finished_single_call_program_is_removed);
     tcase_add_test(tests, a_handover_changes_the_owner_once);
     tcase_add_test(tests, an_aborted_handover_may_start_over_with_a_newer_epoch);
     tcase_add_test(tests, a_snapshot_restores_everything);
--- a/tests/unit/loads.c
+++ b/tests/unit/loads.c
@@ -1,4 +1,4 @@
-/* Loads of servers: gateways' reports, and what the leader tells of them. */
+/* Load reports of gateways and the totals that the leader sends. */
 #include <stdlib.h>
 
 #include "core/load_table.h"
@@ -8,7 +8,7 @@
 {
     LoadTotals totals;
     uint32_t calls = 0;
-    load_table_others(loads, node, &totals);
+    load_table_other_loads(loads, node, &totals);
     for (pb_size_t i = 0; i < totals.loads_count; i++) {
         calls += totals.loads[i].server == server ? totals.loads[i].calls : 0;
     }
@@ -16,7 +16,7 @@
     return calls;
 }
 
-START_TEST(reports_replace_each_other_and_fade)
+START_TEST(reports_are_replaced_and_expire)
 {
     struct load_table loads = {0};
     ServerLoad one[] = {{.server = 5, .calls = 2}, {.server = 6, .calls = 1}};
@@ -31,29 +31,29 @@
     load_table_report(&loads, 1300, 1, &second);
     ck_assert_uint_eq(load_of(&loads, 3, 5), 8);
     ck_assert_uint_eq(load_of(&loads, 3, 6), 0);
-    load_table_fade(&loads, 1000 + LOAD_VALID_MS);
+    load_table_expire(&loads, 1000 + LOAD_MIN_VALID_MS);
     ck_assert_uint_eq(load_of(&loads, 3, 5), 4);
     load_table_close(&loads);
 }
 END_TEST
 
-enum { LOADS_BEGIN_MS = 10000, LOADS_STEADY_MS = 30000, LOADS_END_MS = 40000 };
+enum { LOADS_START_MS = 10000, LOADS_STEADY_MS = 30000, LOADS_END_MS = 40000 };
 
-/* What a leader takes and tells: in the busiest second, and in all ten of them. */
+/* Work of the leader in each second of the steady state. */
 typedef struct load_work_t {
     uint32_t reports[(LOADS_END_MS - LOADS_STEADY_MS) / 1000];
-    uint32_t told[(LOADS_END_MS - LOADS_STEADY_MS) / 1000];
+    uint32_t totals[(LOADS_END_MS - LOADS_STEADY_MS) / 1000];
 } load_work_t;
 
-/* Gateways that all start at once and report as often as they are told to. */
-static load_work_t play_loads(uint32_t count)
+/* Simulates gateways that all start at the same time and report at the interval set by the leader. */
+static load_work_t simulate_loads(uint32_t count)
 {
     load_work_t work = {0};
     struct load_table loads = {0};
     ServerLoad load = {.server = 5, .calls = 1};
     LoadReport report = {.loads_count = 1, .loads = &load};
     uint64_t due_ms[1000] = {0};
-    for (uint64_t now_ms = LOADS_BEGIN_MS; now_ms < LOADS_END_MS; now_ms++) {
+    for (uint64_t now_ms = LOADS_START_MS; now_ms < LOADS_END_MS; now_ms++) {
         for (uint32_t node = 1; node <= count; node++) {
             if (now_ms < due_ms[node - 1]) {
                 continue;
@@ -64,33 +64,33 @@
             due_ms[node - 1] = now_ms + totals.report_ms;
             uint64_t second = now_ms < LOADS_STEADY_MS ? 0 : (now_ms - LOADS_STEADY_MS) / 1000;
             work.reports[second] += now_ms >= LOADS_STEADY_MS ? 1 : 0;
-            work.told[second] += now_ms >= LOADS_STEADY_MS && totals.loads_ms > 0 ? 1 : 0;
+            work.totals[second] += now_ms >= LOADS_STEADY_MS && totals.loads_ms > 0 ? 1 : 0;
             free(totals.loads);
         }
-        load_table_fade(&loads, now_ms);
+        load_table_expire(&loads, now_ms);
     }
     ck_assert_uint_eq(load_of(&loads, 0, 5), count);
     load_table_close(&loads);
     return work;
 }
 
-/* A leader's work for loads has a bound, however many gateways there are; few of them are told often. */
-START_TEST(loads_are_told_as_often_as_the_leader_bears)
+/* The leader's work is bounded for many gateways, and a few gateways get the totals often. */
+START_TEST(the_leader_limits_reports_and_totals)
 {
     static const uint32_t counts[] = {9, 70, 258, 1000};
-    static const uint32_t least_told[] = {90, 200, 200, 200};
+    static const uint32_t min_sent[] = {90, 200, 200, 200};
     for (size_t i = 0; i < sizeof(counts) / sizeof(counts[0]); i++) {
-        load_work_t work = play_loads(counts[i]);
+        load_work_t work = simulate_loads(counts[i]);
         uint32_t reports = 0;
-        uint32_t told = 0;
-        for (size_t second = 0; second < sizeof(work.told) / sizeof(work.told[0]); second++) {
-            ck_assert_uint_le(work.told[second], LOAD_TOTALS_A_S + LOAD_TOTALS_A_S / 5);
+        uint32_t sent = 0;
+        for (size_t second = 0; second < sizeof(work.totals) / sizeof(work.totals[0]); second++) {
+            ck_assert_uint_le(work.totals[second], LOAD_TOTALS_PER_S + LOAD_TOTALS_PER_S / 5);
             reports += work.reports[second];
-            told += work.told[second];
+            sent += work.totals[second];
         }
-        ck_assert_uint_le(reports, 10 * LOAD_REPORTS_A_S);
-        ck_assert_uint_le(told, 10 * LOAD_TOTALS_A_S);
-        ck_assert_uint_ge(told, 10 * least_told[i]);
+        ck_assert_uint_le(reports, 10 * LOAD_REPORTS_PER_S);
+        ck_assert_uint_le(sent, 10 * LOAD_TOTALS_PER_S);
+        ck_assert_uint_ge(sent, 10 * min_sent[i]);
     }
 }
 END_TEST
@@ -99,8 +99,8 @@
 {
     Suite *suite = suite_create("loads");
     TCase *tests = tcase_create("leader");
-    tcase_add_test(tests, reports_replace_each_other_and_fade);
-    tcase_add_test(tests, loads_are_told_as_often_as_the_leader_bears);
+    tcase_add_test(tests, reports_are_replaced_and_expire);
+    tcase_add_test(tests, the_leader_limits_reports_and_totals);
     suite_add_tcase(suite, tests);
     return suite_run(suite);
 }
--- a/tests/unit/log_store.c
+++ b/tests/unit/log_store.c
@@ -1,4 +1,4 @@
-/* The durable log: recovery, torn tails, damaged middles, snapshots. */
+/* Log store: recovery, torn writes, corruption, snapshots. History store: lifetime of texts. */
 #include <fcntl.h>
 #include <signal.h>
 #include <stdio.h>
@@ -14,51 +14,51 @@
 
 enum { GROUPS = 2 };
 
-static char folder[64];
+static char directory[64];
 static struct log_store store;
 
-/* What a replay reported. */
+/* Data passed to the callbacks of log_store_open(). */
 static struct {
     uint64_t snapshot_index;
     uint64_t term;
     uint32_t vote;
     uint64_t last_index;
     uint64_t entries;
-} seen[GROUPS];
+} replayed[GROUPS];
 
 static bool on_snapshot(void *context, uint32_t group, const struct raft_snapshot *snapshot)
 {
     (void)context;
-    seen[group].snapshot_index = snapshot->index;
+    replayed[group].snapshot_index = snapshot->index;
     return true;
 }
 
 static void on_state(void *context, uint32_t group, uint64_t term, uint32_t vote)
 {
     (void)context;
-    seen[group].term = term;
-    seen[group].vote = vote;
+    replayed[group].term = term;
+    replayed[group].vote = vote;
 }
 
 static bool on_entry(void *context, uint32_t group, const struct raft_entry *entry)
 {
     (void)context;
-    seen[group].last_index = entry->index;
-    seen[group].entries++;
+    replayed[group].last_index = entry->index;
+    replayed[group].entries++;
     return true;
 }
 
 static void on_reset(void *context, uint32_t group)
 {
     (void)context;
-    seen[group].last_index = seen[group].snapshot_index;
+    replayed[group].last_index = replayed[group].snapshot_index;
 }
 
 static bool open_store(void)
 {
-    struct log_restore restore = {NULL, on_snapshot, on_state, on_entry, on_reset};
-    memset(seen, 0, sizeof(seen));
-    return log_store_open(&store, folder, GROUPS, &restore);
+    struct log_restore_callbacks restore = {NULL, on_snapshot, on_state, on_entry, on_reset};
+    memset(replayed, 0, sizeof(replayed));
+    return log_store_open(&store, directory, GROUPS, &restore);
 }
 
 static void reopen(void)
@@ -69,8 +69,8 @@
 
 static void setup(void)
 {
-    snprintf(folder, sizeof(folder), "/tmp/bankbank-log-XXXXXX");
-    ck_assert_ptr_nonnull(mkdtemp(folder));
+    snprintf(directory, sizeof(directory), "/tmp/bankbank-log-XXXXXX");
+    ck_assert_ptr_nonnull(mkdtemp(directory));
     ck_assert(open_store());
 }
 
@@ -78,7 +78,7 @@
 {
     char command[128];
     log_store_close(&store);
-    snprintf(command, sizeof(command), "rm -rf %s", folder);
+    snprintf(command, sizeof(command), "rm -rf %s", directory);
     ck_assert_int_eq(system(command), 0);
 }
 
@@ -98,7 +98,7 @@
 
 static char *segment_path(void)
 {
-    return file_path(folder, "log-0000000001");
+    return file_path(directory, "log-0000000001");
 }
 
 START_TEST(synced_records_survive)
@@ -110,14 +110,14 @@
     ck_assert(log_store_sync(&store));
     append(1, 3, 3); /* never synced */
     reopen();
-    ck_assert_uint_eq(seen[0].term, 3);
-    ck_assert_uint_eq(seen[0].vote, 2);
-    ck_assert_uint_eq(seen[0].last_index, 1);
-    ck_assert_uint_eq(seen[1].last_index, 2);
+    ck_assert_uint_eq(replayed[0].term, 3);
+    ck_assert_uint_eq(replayed[0].vote, 2);
+    ck_assert_uint_eq(replayed[0].last_index, 1);
+    ck_assert_uint_eq(replayed[1].last_index, 2);
 }
 END_TEST
 
-START_TEST(a_torn_tail_is_cut_at_every_byte)
+START_TEST(a_torn_last_write_is_truncated_at_every_length)
 {
     append(0, 1, 1);
     ck_assert(log_store_sync(&store));
@@ -131,18 +131,18 @@
     for (off_t size = after.st_size - 1; size > before.st_size; size--) {
         ck_assert_int_eq(truncate(path, size), 0);
         reopen();
-        ck_assert_uint_eq(seen[0].last_index, 1);
+        ck_assert_uint_eq(replayed[0].last_index, 1);
         append(0, 2, 1);
         ck_assert(log_store_sync(&store));
     }
     reopen();
-    ck_assert_uint_eq(seen[0].last_index, 2);
+    ck_assert_uint_eq(replayed[0].last_index, 2);
     free(path);
 }
 END_TEST
 
-/* A write of three records that no sync covered: after a loss of power any part of it may be missing. */
-START_TEST(a_write_torn_in_its_middle_is_cut)
+/* After a power loss, any part of an unsynced write may be missing, not only its end. */
+START_TEST(a_last_write_torn_in_its_middle_is_truncated)
 {
     enum { RECORDS = 3 };
     char zeros[16] = {0};
@@ -159,20 +159,20 @@
         ck_assert(log_store_sync(&store));
         ck_assert_int_eq(stat(path, &after), 0);
         off_t record = (after.st_size - before.st_size) / RECORDS;
-        int file = open(path, O_RDWR);
-        ck_assert_int_eq(pwrite(file, zeros, sizeof(zeros), before.st_size + whole * record), sizeof(zeros));
-        close(file);
+        int fd = open(path, O_RDWR);
+        ck_assert_int_eq(pwrite(fd, zeros, sizeof(zeros), before.st_size + whole * record), sizeof(zeros));
+        close(fd);
         reopen();
-        ck_assert_uint_eq(seen[0].last_index, 1 + (uint64_t)whole);
+        ck_assert_uint_eq(replayed[0].last_index, 1 + (uint64_t)whole);
         ck_assert_int_eq(truncate(path, before.st_size), 0);
         reopen();
-        ck_assert_uint_eq(seen[0].last_index, 1);
+        ck_assert_uint_eq(replayed[0].last_index, 1);
     }
     free(path);
 }
 END_TEST
 
-START_TEST(a_damaged_middle_is_refused_with_its_place)
+START_TEST(corruption_before_the_last_write_is_reported_with_its_offset)
 {
     for (uint64_t index = 1; index <= 3; index++) {
         append(0, index, 1);
@@ -182,9 +182,9 @@
     char *path = segment_path();
     struct stat info;
     ck_assert_int_eq(stat(path, &info), 0);
-    int file = open(path, O_RDWR);
-    ck_assert_int_eq(pwrite(file, "X", 1, info.st_size / 2), 1);
-    close(file);
+    int fd = open(path, O_RDWR);
+    ck_assert_int_eq(pwrite(fd, "X", 1, info.st_size / 2), 1);
+    close(fd);
     ck_assert(!open_store());
     ck_assert_ptr_nonnull(strstr(store.error, "log-0000000001: byte"));
     ck_assert_ptr_nonnull(strstr(store.error, "damaged"));
@@ -192,25 +192,25 @@
 }
 END_TEST
 
-START_TEST(a_snapshot_is_loaded_and_a_damaged_one_refused)
+START_TEST(a_snapshot_is_loaded_and_a_corrupt_one_refused)
 {
     append(0, 1, 1);
     ck_assert(log_store_sync(&store));
     ck_assert(save_snapshot(0, 1, "state"));
     reopen();
-    ck_assert_uint_eq(seen[0].snapshot_index, 1);
+    ck_assert_uint_eq(replayed[0].snapshot_index, 1);
     log_store_close(&store);
-    char *path = file_path(folder, "snapshot-0");
-    int file = open(path, O_RDWR);
-    ck_assert_int_eq(pwrite(file, "X", 1, 45), 1);
-    close(file);
+    char *path = file_path(directory, "snapshot-0");
+    int fd = open(path, O_RDWR);
+    ck_assert_int_eq(pwrite(fd, "X", 1, 45), 1);
+    close(fd);
     ck_assert(!open_store());
     ck_assert_ptr_nonnull(strstr(store.error, "snapshot"));
     free(path);
 }
 END_TEST
 
-START_TEST(covered_segments_are_dropped)
+START_TEST(covered_segments_are_deleted)
 {
     uint8_t *large = memory_new(1 << 20);
     uint64_t index = 0;
@@ -224,8 +224,8 @@
     ck_assert(save_snapshot(0, index, "s"));
     ck_assert_uint_eq(store.segment_count, 1);
     reopen();
-    ck_assert_uint_eq(seen[0].snapshot_index, index);
-    ck_assert_uint_eq(seen[1].term, 9);
+    ck_assert_uint_eq(replayed[0].snapshot_index, index);
+    ck_assert_uint_eq(replayed[1].term, 9);
     free(large);
 }
 END_TEST
@@ -237,8 +237,8 @@
     ck_assert(log_store_sync(&store));
 }
 
-/* Entry 4 was replaced, as all behind 2 were, by entries that stand in a later segment. */
-START_TEST(a_segment_that_replaces_what_an_older_one_holds_stays)
+/* Entries of a later segment void entry 4 of an older one; without the later segment, entry 4 would come back. */
+START_TEST(a_segment_that_overwrites_entries_of_an_older_one_is_kept)
 {
     uint8_t *large = memory_new(1 << 20);
     for (uint64_t index = 1; index <= 4; index++) {
@@ -252,21 +252,21 @@
     ck_assert_uint_eq(store.segment_count, 3);
     ck_assert(save_snapshot(0, 3, "s"));
     reopen();
-    ck_assert_uint_eq(seen[0].snapshot_index, 3);
-    ck_assert_uint_eq(seen[0].last_index, 3);
+    ck_assert_uint_eq(replayed[0].snapshot_index, 3);
+    ck_assert_uint_eq(replayed[0].last_index, 3);
     for (uint64_t index = 4; index <= 8; index++) {
         append_large(large, index, 3);
     }
     ck_assert(save_snapshot(0, 8, "s"));
     ck_assert_uint_eq(store.segment_count, 1);
     reopen();
-    ck_assert_uint_eq(seen[0].snapshot_index, 8);
+    ck_assert_uint_eq(replayed[0].snapshot_index, 8);
     free(large);
 }
 END_TEST
 
-/* A start reads entries 1 to 5 and a later 3, which made 4 and 5 void; a snapshot covers all up to 3. */
-START_TEST(an_entry_within_the_snapshot_replaces_those_behind_it)
+/* A snapshot covers entries up to 3; the log has entries 1 to 5, then a newer entry 3. */
+START_TEST(an_entry_within_the_snapshot_voids_later_entries)
 {
     struct raft raft;
     struct raft_config config = {.node = 1};
@@ -288,10 +288,10 @@
 }
 END_TEST
 
-START_TEST(a_failed_write_stops_acknowledgement)
+START_TEST(a_failed_write_fails_all_later_syncs)
 {
-    close(store.file);
-    store.file = open("/dev/full", O_WRONLY);
+    close(store.fd);
+    store.fd = open("/dev/full", O_WRONLY);
     append(0, 1, 1);
     ck_assert(!log_store_sync(&store));
     ck_assert_ptr_nonnull(strstr(store.error, "cannot write"));
@@ -299,8 +299,8 @@
 }
 END_TEST
 
-/* A disk that takes only a part and has room again later: nothing is lost and nothing stands twice. */
-START_TEST(a_full_disk_is_written_again_later)
+/* No record may be lost or duplicated by a write that is retried after the disk was full. */
+START_TEST(a_write_to_a_full_disk_is_retried)
 {
     append(0, 1, 1);
     ck_assert(log_store_sync(&store));
@@ -323,15 +323,15 @@
     append(0, 3, 1);
     ck_assert(log_store_sync(&store));
     reopen();
-    ck_assert_uint_eq(seen[0].entries, 3);
-    ck_assert_uint_eq(seen[0].last_index, 3);
+    ck_assert_uint_eq(replayed[0].entries, 3);
+    ck_assert_uint_eq(replayed[0].last_index, 3);
 }
 END_TEST
 
-START_TEST(history_texts_live_until_dropped)
+START_TEST(history_texts_are_kept_until_released_and_swept)
 {
     struct history_store history;
-    char *path = file_path(folder, "history");
+    char *path = file_path(directory, "history");
     ck_assert(history_store_open(&history, path));
     struct history_io io = history_store_io(&history);
     struct history_ref first;
@@ -342,16 +342,16 @@
     history_store_close(&history);
     ck_assert(history_store_open(&history, path));
     io = history_store_io(&history);
-    io.keep(io.context, &second);
+    io.mark_used(io.context, &second);
     history_store_sweep(&history);
     struct buffer text = {0};
     ck_assert(io.read(io.context, &second, &text));
     ck_assert_str_eq(buffer_text(&text), "world");
-    io.drop(io.context, &second);
+    io.release(io.context, &second);
     buffer_clear(&text);
-    ck_assert(io.read(io.context, &second, &text)); /* the stored snapshot may still name it */
+    ck_assert(io.read(io.context, &second, &text)); /* a stored snapshot may still refer to it */
     ck_assert_str_eq(buffer_text(&text), "world");
-    io.sweep(io.context);
+    io.reclaim(io.context);
     ck_assert(!io.read(io.context, &second, &text));
     buffer_close(&text);
     history_store_close(&history);
@@ -366,16 +366,16 @@
     tcase_add_checked_fixture(tests, setup, teardown);
     tcase_set_timeout(tests, 60);
     tcase_add_test(tests, synced_records_survive);
-    tcase_add_test(tests, a_torn_tail_is_cut_at_every_byte);
-    tcase_add_test(tests, a_write_torn_in_its_middle_is_cut);
-    tcase_add_test(tests, a_damaged_middle_is_refused_with_its_place);
-    tcase_add_test(tests, a_snapshot_is_loaded_and_a_damaged_one_refused);
-    tcase_add_test(tests, covered_segments_are_dropped);
-    tcase_add_test(tests, a_segment_that_replaces_what_an_older_one_holds_stays);
-    tcase_add_test(tests, an_entry_within_the_snapshot_replaces_those_behind_it);
-    tcase_add_test(tests, a_failed_write_stops_acknowledgement);
-    tcase_add_test(tests, a_full_disk_is_written_again_later);
-    tcase_add_test(tests, history_texts_live_until_dropped);
+    tcase_add_test(tests, a_torn_last_write_is_truncated_at_every_length);
+    tcase_add_test(tests, a_last_write_torn_in_its_middle_is_truncated);
+    tcase_add_test(tests, corruption_before_the_last_write_is_reported_with_its_offset);
+    tcase_add_test(tests, a_snapshot_is_loaded_and_a_corrupt_one_refused);
+    tcase_add_test(tests, covered_segments_are_deleted);
+    tcase_add_test(tests, a_segment_that_overwrites_entries_of_an_older_one_is_kept);
+    tcase_add_test(tests, an_entry_within_the_snapshot_voids_later_entries);
+    tcase_add_test(tests, a_failed_write_fails_all_later_syncs);
+    tcase_add_test(tests, a_write_to_a_full_disk_is_retried);
+    tcase_add_test(tests, history_texts_are_kept_until_released_and_swept);
     suite_add_tcase(suite, tests);
     return suite_run(suite);
 }
--- a/tests/unit/site_settings.c
+++ b/tests/unit/node_settings.c
@@ -1,4 +1,4 @@
-/* Settings of a site's daemon: the file, and what the environment adds. */
+/* Settings of a site daemon from the file and the environment. */
 #include <stdlib.h>
 #include <string.h>
 #include <unistd.h>
@@ -12,16 +12,16 @@
 static const char FILE_TEXT[] = "name: \"m1\"\nip: \"10.0.0.1\"\npeer_port: 7380\ndata: \"/d\"\n"
                                 "seeds:\n  - address: \"10.0.0.2:8144\"\n";
 
-static void load(const char *further)
+static void load(const char *environment)
 {
     char path[] = "/tmp/bankbank-settings-XXXXXX";
-    int file = mkstemp(path);
-    ck_assert_int_ge(file, 0);
-    ck_assert_int_eq(write(file, FILE_TEXT, strlen(FILE_TEXT)), (ssize_t)strlen(FILE_TEXT));
-    close(file);
-    unsetenv(NODE_SETTINGS_FURTHER);
-    if (further != NULL) {
-        setenv(NODE_SETTINGS_FURTHER, further, 1);
+    int fd = mkstemp(path);
+    ck_assert_int_ge(fd, 0);
+    ck_assert_int_eq(write(fd, FILE_TEXT, strlen(FILE_TEXT)), (ssize_t)strlen(FILE_TEXT));
+    close(fd);
+    unsetenv(NODE_SETTINGS_ENV);
+    if (environment != NULL) {
+        setenv(NODE_SETTINGS_ENV, environment, 1);
     }
     node_settings_load(&settings, path, &findings);
     unlink(path);
@@ -33,7 +33,7 @@
     findings_close(&findings);
 }
 
-START_TEST(the_file_alone_is_whole)
+START_TEST(the_file_alone_is_valid)
 {
     load(NULL);
     ck_assert_uint_eq(findings.count, 0);
@@ -53,11 +53,11 @@
 }
 END_TEST
 
-START_TEST(a_fault_there_is_told_with_its_place)
+START_TEST(an_error_in_the_environment_names_the_variable)
 {
     load("start_slak: 5\n");
     ck_assert_uint_eq(findings.count, 1);
-    ck_assert_ptr_nonnull(strstr(findings.items[0].place, NODE_SETTINGS_FURTHER));
+    ck_assert_ptr_nonnull(strstr(findings.items[0].location, NODE_SETTINGS_ENV));
 }
 END_TEST
 
@@ -66,9 +66,9 @@
     Suite *suite = suite_create("site settings");
     TCase *tests = tcase_create("settings");
     tcase_add_checked_fixture(tests, NULL, teardown);
-    tcase_add_test(tests, the_file_alone_is_whole);
+    tcase_add_test(tests, the_file_alone_is_valid);
     tcase_add_test(tests, the_environment_adds_settings);
-    tcase_add_test(tests, a_fault_there_is_told_with_its_place);
+    tcase_add_test(tests, an_error_in_the_environment_names_the_variable);
     suite_add_tcase(suite, tests);
     return suite_run(suite);
 }
--- a/tests/unit/overload.c
+++ b/tests/unit/overload.c
@@ -1,7 +1,6 @@
 /*
- * Model servers under more programs than they bear for some seconds: where their turns go (server_table) and at which
- * rank (turn_rank). The servers are a model: batches, prompts read in pieces between the tokens of others, a memory
- * that holds what was read until others need it.
+ * Choice of the server (server_table) and rank of a turn (turn_rank) under a short overload of simulated model servers
+ * with continuous batching, chunked prefill and an LRU prompt cache.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -13,14 +12,14 @@
 
 enum {
     SERVERS = 8,
-    GATEWAYS = 12, /* at most; each sees its own calls at once, and those of the others late */
-    TOLD_MS = 400, /* period in which they are told those */
+    GATEWAYS = 12,         /* maximum; each sees the calls of the others with a delay */
+    LOADS_PERIOD_MS = 400, /* interval at which gateways receive the calls of the others */
     SLOTS = 8,
-    MEMORY = 43874,     /* tokens */
-    READ_A_STEP = 2048, /* tokens of prompts read in one step, at most */
-    SHARED = 512,       /* tokens that every prompt begins with */
-    INPUT = 327,        /* tokens that a turn brings */
-    OUTPUT = 72,        /* tokens that it makes */
+    CACHE_TOKENS = 43874,           /* per server */
+    PREFILL_TOKENS_PER_STEP = 2048, /* maximum */
+    SHARED_TOKENS = 512,            /* prefix tokens common to all prompts */
+    INPUT_TOKENS = 327,             /* new prompt tokens of a turn */
+    OUTPUT_TOKENS = 72,             /* of a turn */
     TURNS = 11,
     PAUSE_MS = 120,
     PROGRAMS = 1200,
@@ -28,52 +27,52 @@
 };
 
 static const double STEP_MS = 3.06;
-static const double READ_TOKENS_PER_MS = 64.8;
-static const double AIM = 1.4; /* of a program's time on idle servers */
+static const double PREFILL_TOKENS_PER_MS = 64.8;
+static const double TARGET_FACTOR = 1.4; /* relative to the duration on idle servers */
 
-typedef enum test_phase_t { TEST_PAUSE, TEST_QUEUED, TEST_READING, TEST_MAKING, TEST_DONE } test_phase_t;
+typedef enum test_phase_t { TEST_PAUSE, TEST_QUEUED, TEST_PREFILL, TEST_DECODE, TEST_DONE } test_phase_t;
 
 typedef struct test_program_t {
     test_phase_t phase;
-    double begin_ms;
-    double since_ms; /* end of the pause, or begin of the wait */
+    double start_ms;
+    double since_ms; /* end of the pause, or start of the wait */
     double end_ms;
     int turn;
     int gateway;
-    int server; /* where its turn is */
-    int home;   /* where its last turn ran, -1: nowhere */
-    bool busy;  /* its server was, when it was sent */
-    int unread; /* tokens still to be read */
-    int unmade;
-    bool kept[SERVERS];
+    int server;       /* server of the current turn */
+    int home;         /* server of the last turn, -1: none */
+    bool busy;        /* the server was busy when the turn was sent */
+    int prefill_left; /* prompt tokens to be processed */
+    int output_left;  /* output tokens to be generated */
+    bool cached[SERVERS];
     double used_ms[SERVERS];
 } test_program_t;
 
 static test_program_t programs[PROGRAMS];
 static int program_count;
 static double server_ms[SERVERS];
-static int used[SERVERS];
+static int used_tokens[SERVERS];
 static struct server_table tables[GATEWAYS];
 static struct server *by_number[GATEWAYS][SERVERS];
-static double told_ms;
+static double loads_due_ms;
 static int gateway_count;
-static double read_tokens;
+static double processed_tokens;
 static double needed_tokens;
 
 static int context_of(const test_program_t *program)
 {
-    return SHARED + (program->turn + 1) * INPUT + program->turn * OUTPUT;
+    return SHARED_TOKENS + (program->turn + 1) * INPUT_TOKENS + program->turn * OUTPUT_TOKENS;
 }
 
-/* Forgets what was used least lately until `tokens` fit; false: what runs needs the rest. */
+/* Evicts least recently used contexts until `tokens` fit; false: running turns need the rest. */
 static bool make_room(int server, int tokens)
 {
-    while (used[server] + tokens > MEMORY) {
+    while (used_tokens[server] + tokens > CACHE_TOKENS) {
         test_program_t *oldest = NULL;
         for (int i = 0; i < program_count; i++) {
             test_program_t *program = &programs[i];
-            bool runs = program->server == server && (program->phase == TEST_READING || program->phase == TEST_MAKING);
-            if (program->kept[server] && !runs &&
+            bool runs = program->server == server && (program->phase == TEST_PREFILL || program->phase == TEST_DECODE);
+            if (program->cached[server] && !runs &&
                 (oldest == NULL || program->used_ms[server] < oldest->used_ms[server])) {
                 oldest = program;
             }
@@ -81,9 +80,9 @@
         if (oldest == NULL) {
             return false;
         }
-        oldest->kept[server] = false;
-        /* What is kept is the context up to the turn that ran there last: the current one where it waits or rests. */
-        used[server] -= context_of(oldest);
+        oldest->cached[server] = false;
+        /* The cached context includes the current turn of a program that is queued or paused. */
+        used_tokens[server] -= context_of(oldest);
     }
     return true;
 }
@@ -105,7 +104,7 @@
             if (program->server != server) {
                 continue;
             }
-            running += program->phase == TEST_READING || program->phase == TEST_MAKING ? 1 : 0;
+            running += program->phase == TEST_PREFILL || program->phase == TEST_DECODE ? 1 : 0;
             if (program->phase == TEST_QUEUED && (next == NULL || rank_before(program, next))) {
                 next = program;
             }
@@ -114,73 +113,73 @@
             return;
         }
         int context = context_of(next);
-        if (next->kept[server]) {
-            used[server] -= context; /* counted anew below */
-            next->kept[server] = false;
-            next->unread = INPUT;
+        if (next->cached[server]) {
+            used_tokens[server] -= context; /* added again below */
+            next->cached[server] = false;
+            next->prefill_left = INPUT_TOKENS;
         } else {
-            next->unread = context;
+            next->prefill_left = context;
         }
         if (!make_room(server, context)) {
-            next->unread = 0;
+            next->prefill_left = 0;
             return;
         }
-        used[server] += context;
-        next->kept[server] = true;
+        used_tokens[server] += context;
+        next->cached[server] = true;
         next->used_ms[server] = server_ms[server];
-        next->unmade = OUTPUT;
-        next->phase = TEST_READING;
-        needed_tokens += INPUT;
-        read_tokens += next->unread;
+        next->output_left = OUTPUT_TOKENS;
+        next->phase = TEST_PREFILL;
+        needed_tokens += INPUT_TOKENS;
+        processed_tokens += next->prefill_left;
     }
 }
 
 static void finish_turn(test_program_t *program, int server)
 {
-    server_end(&tables[program->gateway], by_number[program->gateway][server]);
+    server_end_request(&tables[program->gateway], by_number[program->gateway][server]);
     program->home = server;
     program->used_ms[server] = server_ms[server];
     program->turn++;
     for (int i = 0; i < SERVERS; i++) {
-        /* Elsewhere an older begin of the conversation stays: it is worth little, and let go here. */
-        if (i != server && program->kept[i]) {
-            program->kept[i] = false;
+        /* Older prefixes of the conversation on other servers are evicted, as a simplification. */
+        if (i != server && program->cached[i]) {
+            program->cached[i] = false;
             program->turn--;
-            used[i] -= context_of(program);
+            used_tokens[i] -= context_of(program);
             program->turn++;
         }
     }
-    used[server] += INPUT + OUTPUT; /* room for what the next turn brings */
+    used_tokens[server] += INPUT_TOKENS + OUTPUT_TOKENS; /* reserved for the next turn */
     program->phase = program->turn == TURNS ? TEST_DONE : TEST_PAUSE;
     program->since_ms = server_ms[server] + PAUSE_MS;
     program->end_ms = server_ms[server];
     if (program->phase == TEST_DONE) {
-        program->kept[server] = false;
-        used[server] -= context_of(program);
+        program->cached[server] = false;
+        used_tokens[server] -= context_of(program);
     }
 }
 
-/* One step of a server: a piece of prompts is read, and each turn that is read makes a token. */
+/* Processes a chunk of prompts and generates a token for each turn with a processed prompt. */
 static void step(int server)
 {
-    int left = READ_A_STEP;
-    int read = 0;
+    int left = PREFILL_TOKENS_PER_STEP;
+    int processed = 0;
     admit(server);
-    double begin_ms = server_ms[server];
+    double start_ms = server_ms[server];
     for (int i = 0; i < program_count; i++) {
         test_program_t *program = &programs[i];
-        if (program->server == server && program->phase == TEST_READING) {
-            int part = program->unread < left ? program->unread : left;
-            program->unread -= part;
+        if (program->server == server && program->phase == TEST_PREFILL) {
+            int part = program->prefill_left < left ? program->prefill_left : left;
+            program->prefill_left -= part;
             left -= part;
-            read += part;
-            program->phase = program->unread == 0 ? TEST_MAKING : TEST_READING;
+            processed += part;
+            program->phase = program->prefill_left == 0 ? TEST_DECODE : TEST_PREFILL;
         }
     }
-    server_ms[server] = begin_ms + STEP_MS + read / READ_TOKENS_PER_MS;
+    server_ms[server] = start_ms + STEP_MS + processed / PREFILL_TOKENS_PER_MS;
     for (int i = 0; i < program_count; i++) {
         test_program_t *program = &programs[i];
-        if (program->server == server && program->phase == TEST_MAKING && --program->unmade == 0) {
+        if (program->server == server && program->phase == TEST_DECODE && --program->output_left == 0) {
             finish_turn(program, server);
         }
     }
@@ -188,42 +187,41 @@
 
 static void send_turn(test_program_t *program, double now_ms)
 {
-    struct server_wish wish = {.service = "s", .zone = "z"};
-    wish.home = program->home < 0 ? NULL : by_number[program->gateway][program->home]->id;
-    struct server *server = server_table_choose(&tables[program->gateway], (uint64_t)now_ms, &wish);
-    server_begin(server, (uint64_t)now_ms);
+    struct server_criteria criteria = {.service = "s", .zone = "z"};
+    criteria.home = program->home < 0 ? NULL : by_number[program->gateway][program->home]->id;
+    struct server *server = server_table_choose(&tables[program->gateway], (uint64_t)now_ms, &criteria);
+    server_begin_request(server, (uint64_t)now_ms);
     program->busy = server_is_busy(&tables[program->gateway], server, (uint64_t)now_ms);
     program->server = server->id[0] - 'a';
     program->phase = TEST_QUEUED;
     program->since_ms = now_ms;
 }
 
-/* Each gateway learns what the others have under way. */
-static void tell_loads(double now_ms)
+static void send_loads(double now_ms)
 {
-    if (now_ms < told_ms) {
+    if (now_ms < loads_due_ms) {
         return;
     }
-    told_ms = now_ms + TOLD_MS;
+    loads_due_ms = now_ms + LOADS_PERIOD_MS;
     for (int k = 0; k < SERVERS; k++) {
         uint32_t calls = 0;
         for (int g = 0; g < gateway_count; g++) {
-            calls += by_number[g][k]->calls;
+            calls += by_number[g][k]->in_flight;
         }
         for (int g = 0; g < gateway_count; g++) {
-            by_number[g][k]->others = calls - by_number[g][k]->calls;
-            tables[g].loads_until_ms = (uint64_t)told_ms + TOLD_MS;
+            by_number[g][k]->other_in_flight = calls - by_number[g][k]->in_flight;
+            tables[g].loads_until_ms = (uint64_t)loads_due_ms + LOADS_PERIOD_MS;
         }
     }
 }
 
-/* Programs a second: twice what is usual from second 4 to 10. */
+/* Programs per second: twice the normal rate from second 4 to 10. */
 static double rate_at(double now_ms)
 {
     return now_ms >= 4000 && now_ms < 10000 ? 30 : 15;
 }
 
-static void play(void)
+static void simulate(void)
 {
     double arrival_ms = 0;
     while (true) {
@@ -237,14 +235,14 @@
         }
         while (arrival_ms <= now_ms && program_count < PROGRAMS && arrival_ms < RUN_MS - 15000) {
             programs[program_count] = (test_program_t){.phase = TEST_PAUSE,
-                                                       .begin_ms = arrival_ms,
+                                                       .start_ms = arrival_ms,
                                                        .since_ms = arrival_ms,
                                                        .gateway = program_count % gateway_count,
                                                        .home = -1};
             program_count++;
             arrival_ms += 1000 / rate_at(arrival_ms);
         }
-        tell_loads(now_ms);
+        send_loads(now_ms);
         for (int i = 0; i < program_count; i++) {
             if (programs[i].phase == TEST_PAUSE && programs[i].since_ms <= now_ms) {
                 send_turn(&programs[i], now_ms);
@@ -260,12 +258,12 @@
     char names[SERVERS][2];
     memset(records, 0, sizeof(records));
     memset(tables, 0, sizeof(tables));
-    told_ms = 0;
+    loads_due_ms = 0;
     memset(server_ms, 0, sizeof(server_ms));
-    memset(used, 0, sizeof(used));
+    memset(used_tokens, 0, sizeof(used_tokens));
     gateway_count = gateways;
     program_count = 0;
-    read_tokens = 0;
+    processed_tokens = 0;
     needed_tokens = 0;
     for (int i = 0; i < SERVERS; i++) {
         snprintf(names[i], sizeof(names[i]), "%c", 'a' + i);
@@ -294,41 +292,41 @@
 typedef struct test_outcome_t {
     int done;
     int in_time;
-    double read_a_token_needed;
+    double prefill_per_needed_token;
 } test_outcome_t;
 
-static test_outcome_t play_with(int gateways)
+static test_outcome_t simulate_gateways(int gateways)
 {
-    double idle_ms = TURNS * (OUTPUT * STEP_MS + INPUT / READ_TOKENS_PER_MS) + (TURNS - 1) * PAUSE_MS;
+    double idle_ms = TURNS * (OUTPUT_TOKENS * STEP_MS + INPUT_TOKENS / PREFILL_TOKENS_PER_MS) + (TURNS - 1) * PAUSE_MS;
     test_outcome_t outcome = {0};
     start(gateways);
-    play();
+    simulate();
     for (int i = 0; i < program_count; i++) {
         bool done = programs[i].phase == TEST_DONE;
         outcome.done += done ? 1 : 0;
-        outcome.in_time += done && programs[i].end_ms - programs[i].begin_ms <= AIM * idle_ms ? 1 : 0;
+        outcome.in_time += done && programs[i].end_ms - programs[i].start_ms <= TARGET_FACTOR * idle_ms ? 1 : 0;
     }
-    outcome.read_a_token_needed = read_tokens / needed_tokens;
+    outcome.prefill_per_needed_token = processed_tokens / needed_tokens;
     return outcome;
 }
 
-/* Without ranks 336 of the 465 end, 60 in time, and 6.7 tokens are read for one that is needed. */
-START_TEST(what_is_begun_ends_in_time_through_an_overload)
+/* Without ranks, running programs are delayed, evicted and processed again, and many do not finish. */
+START_TEST(running_programs_finish_in_time_during_an_overload)
 {
-    test_outcome_t outcome = play_with(1);
+    test_outcome_t outcome = simulate_gateways(1);
     ck_assert_int_eq(outcome.done, program_count);
     ck_assert_int_ge(outcome.in_time, program_count / 2);
-    ck_assert_double_le(outcome.read_a_token_needed, 1.6);
+    ck_assert_double_le(outcome.prefill_per_needed_token, 1.6);
 }
 END_TEST
 
-/* Gateways that know of each other late crowd at servers in turn. Where homes are left for six requests less, 4.1
- * tokens are read for one that is needed (3.7 so), without ranks 6.9. */
-START_TEST(homes_are_not_left_for_a_short_queue)
+/* Gateways that see each other's calls late overload one server after another. If programs leave their homes for short
+ * queues, more prompts are processed again. */
+START_TEST(programs_do_not_leave_home_for_a_short_queue)
 {
-    test_outcome_t outcome = play_with(GATEWAYS);
+    test_outcome_t outcome = simulate_gateways(GATEWAYS);
     ck_assert_int_eq(outcome.done, program_count);
-    ck_assert_double_le(outcome.read_a_token_needed, 3.9);
+    ck_assert_double_le(outcome.prefill_per_needed_token, 3.9);
 }
 END_TEST
 
@@ -338,8 +336,8 @@
     TCase *tests = tcase_create("servers");
     tcase_set_timeout(tests, 60);
     tcase_add_checked_fixture(tests, NULL, teardown);
-    tcase_add_test(tests, what_is_begun_ends_in_time_through_an_overload);
-    tcase_add_test(tests, homes_are_not_left_for_a_short_queue);
+    tcase_add_test(tests, running_programs_finish_in_time_during_an_overload);
+    tcase_add_test(tests, programs_do_not_leave_home_for_a_short_queue);
     suite_add_tcase(suite, tests);
     return suite_run(suite);
 }
--- a/tests/unit/quota.c
+++ b/tests/unit/quota.c
@@ -1,8 +1,8 @@
-/* Quotas over a fleet: what runs in any window, whatever fails, against a count of every request. */
+/* Checks the number of requests that a fleet of gateways admits in any window, also under faults. */
 #include <stdlib.h>
 #include <string.h>
 
-#include "core/quota_purse.h"
+#include "core/quota_lease.h"
 #include "core/quota_table.h"
 #include "suite.h"
 
@@ -10,18 +10,18 @@
     GATEWAYS = 70,
     STEP_MS = 10,
     WINDOW_MS = 5000,
-    WAY_MS = 10, /* to the leader and back */
+    ROUND_TRIP_MS = 10, /* from a gateway to the leader and back */
     RUN_MS = 30000,
-    REQUESTS_MOST = 200000
+    MAX_REQUESTS = 200000
 };
 
 static const double OVERSHOOT = 0.1;
 static const double SLACK = 20;
 
 typedef struct test_gateway_t {
-    quota_purses_t purses;
+    quota_leases_t leases;
     uint64_t frozen_until_ms;
-    uint64_t cut_until_ms;
+    uint64_t partitioned_until_ms;
     bool asking;
     uint64_t asked_ms;
     QuotaAsk ask;
@@ -34,12 +34,12 @@
 static struct route_table *routes;
 static struct route_tenant *tenant;
 static uint64_t now_ms;
-static uint64_t runs[REQUESTS_MOST];
-static size_t run_count;
+static uint64_t admitted_ms[MAX_REQUESTS];
+static size_t admitted_count;
 static size_t refused;
 static uint64_t random_state;
 
-static uint32_t draw(uint32_t below)
+static uint32_t random_below(uint32_t below)
 {
     random_state = random_state * 6364136223846793005ULL + 1442695040888963407ULL;
     return (uint32_t)((random_state >> 33) % below);
@@ -58,8 +58,8 @@
     route_table_check(routes, &findings);
     findings_close(&findings);
     now_ms = 1000;
-    table.bounds = (quota_bounds_t){WINDOW_MS / 1000, OVERSHOOT, SLACK};
-    run_count = 0;
+    table.tolerance = (quota_tolerance_t){WINDOW_MS / 1000, OVERSHOOT, SLACK};
+    admitted_count = 0;
     refused = 0;
     random_state = 7;
 }
@@ -67,29 +67,29 @@
 static void teardown(void)
 {
     for (int i = 0; i < GATEWAYS; i++) {
-        quota_purses_close(&gateways[i].purses);
+        quota_leases_close(&gateways[i].leases);
         free(gateways[i].ask.demands);
     }
     quota_table_clear(&table, now_ms);
     route_table_release(routes);
 }
 
-static void note_run(void)
+static void record_admitted(void)
 {
-    ck_assert_uint_lt(run_count, REQUESTS_MOST);
-    runs[run_count++] = now_ms;
+    ck_assert_uint_lt(admitted_count, MAX_REQUESTS);
+    admitted_ms[admitted_count++] = now_ms;
 }
 
 static void send_ask(test_gateway_t *gateway)
 {
     gateway->asking = true;
     gateway->asked_ms = now_ms;
-    gateway->asked_for = gateway->purses.purses->waiting;
+    gateway->asked_for = gateway->leases.by_tenant->waiting;
     gateway->waiting -= gateway->asked_for;
-    quota_purses_ask(&gateway->purses, now_ms, &gateway->ask);
+    quota_leases_fill_request(&gateway->leases, now_ms, &gateway->ask);
 }
 
-static void take_answer(test_gateway_t *gateway, bool lost)
+static void apply_reply(test_gateway_t *gateway, bool lost)
 {
     QuotaGrant grant;
     quota_table_answer(&table, now_ms, routes, &gateway->ask, &grant);
@@ -97,12 +97,12 @@
     for (; gateway->asked_for > 0; gateway->asked_for--) {
         if (granted > 0) {
             granted--;
-            note_run();
+            record_admitted();
         } else {
             refused++;
         }
     }
-    quota_purses_put(&gateway->purses, gateway->asked_ms, tenant->hash, granted);
+    quota_leases_add(&gateway->leases, gateway->asked_ms, tenant->hash, granted);
     free(grant.shares);
     free(gateway->ask.demands);
     memset(&gateway->ask, 0, sizeof(gateway->ask));
@@ -111,8 +111,8 @@
 
 static void request(test_gateway_t *gateway)
 {
-    if (quota_purses_take(&gateway->purses, now_ms, tenant->hash, QUOTA_USE_REQUEST)) {
-        note_run();
+    if (quota_leases_take(&gateway->leases, now_ms, tenant->hash, QUOTA_USE_REQUEST)) {
+        record_admitted();
     } else {
         gateway->waiting++;
     }
@@ -121,9 +121,10 @@
 static void step(double requests_per_s)
 {
     double expected = requests_per_s * STEP_MS / 1000;
-    uint32_t count = (uint32_t)expected + (draw(1000) < (uint32_t)((expected - (uint32_t)expected) * 1000) ? 1 : 0);
+    uint32_t count =
+        (uint32_t)expected + (random_below(1000) < (uint32_t)((expected - (uint32_t)expected) * 1000) ? 1 : 0);
     for (uint32_t i = 0; i < count; i++) {
-        test_gateway_t *gateway = &gateways[draw(GATEWAYS)];
+        test_gateway_t *gateway = &gateways[random_below(GATEWAYS)];
         if (now_ms >= gateway->frozen_until_ms) {
             request(gateway);
         }
@@ -131,31 +132,31 @@
     for (int i = 0; i < GATEWAYS; i++) {
         test_gateway_t *gateway = &gateways[i];
         bool runs_now = now_ms >= gateway->frozen_until_ms;
-        if (runs_now && gateway->asking && now_ms >= gateway->asked_ms + WAY_MS) {
-            take_answer(gateway, now_ms < gateway->cut_until_ms);
-        } else if (runs_now && !gateway->asking && gateway->purses.due) {
+        if (runs_now && gateway->asking && now_ms >= gateway->asked_ms + ROUND_TRIP_MS) {
+            apply_reply(gateway, now_ms < gateway->partitioned_until_ms);
+        } else if (runs_now && !gateway->asking && gateway->leases.due) {
             send_ask(gateway);
         }
     }
     now_ms += STEP_MS;
 }
 
-/* Most requests in a window of WINDOW_MS that begins at `from_ms` or later. */
-static size_t most_in_a_window(uint64_t from_ms)
+/* Maximum number of admitted requests in a window of WINDOW_MS that starts at `from_ms` or later. */
+static size_t max_in_a_window(uint64_t from_ms)
 {
-    size_t most = 0;
+    size_t max = 0;
     size_t first = 0;
-    for (size_t i = 0; i < run_count; i++) {
-        while (runs[first] < from_ms || runs[i] - runs[first] >= WINDOW_MS) {
+    for (size_t i = 0; i < admitted_count; i++) {
+        while (admitted_ms[first] < from_ms || admitted_ms[i] - admitted_ms[first] >= WINDOW_MS) {
             if (first == i) {
                 break;
             }
             first++;
         }
         size_t count = i - first + 1;
-        most = count > most ? count : most;
+        max = count > max ? count : max;
     }
-    return most;
+    return max;
 }
 
 static double limit(void)
@@ -163,51 +164,51 @@
     return (tenant->rate_per_s * WINDOW_MS / 1000 + tenant->burst) * (1 + OVERSHOOT) + SLACK;
 }
 
-START_TEST(below_its_limit_a_tenant_is_not_refused)
+START_TEST(a_tenant_below_its_limit_is_not_refused)
 {
     while (now_ms < RUN_MS) {
         step(tenant->rate_per_s / 1.6);
     }
     ck_assert_uint_eq(refused, 0);
-    ck_assert_uint_gt(run_count, (size_t)(tenant->rate_per_s / 1.6 * RUN_MS / 1000 * 9 / 10));
+    ck_assert_uint_gt(admitted_count, (size_t)(tenant->rate_per_s / 1.6 * RUN_MS / 1000 * 9 / 10));
 }
 END_TEST
 
-START_TEST(a_flood_gets_its_limit_and_not_more)
+START_TEST(overload_is_admitted_up_to_the_limit)
 {
     while (now_ms < RUN_MS) {
         step(tenant->rate_per_s * 10);
     }
-    ck_assert_double_le((double)most_in_a_window(0), limit());
-    ck_assert_double_ge((double)run_count, tenant->rate_per_s * RUN_MS / 1000 * 0.8);
+    ck_assert_double_le((double)max_in_a_window(0), limit());
+    ck_assert_double_ge((double)admitted_count, tenant->rate_per_s * RUN_MS / 1000 * 0.8);
 }
 END_TEST
 
-START_TEST(a_flood_under_faults_gets_not_more)
+START_TEST(the_limit_holds_under_faults)
 {
     static const double bursts[] = {10, 40, 160};
     uint64_t next_leader_ms = 3000;
     random_state = (uint64_t)_i + 1;
     tenant->burst = bursts[_i % 3];
     while (now_ms < RUN_MS) {
-        test_gateway_t *gateway = &gateways[draw(GATEWAYS)];
-        if (draw(60) == 0) {
-            gateway->frozen_until_ms = now_ms + draw(4000);
+        test_gateway_t *gateway = &gateways[random_below(GATEWAYS)];
+        if (random_below(60) == 0) {
+            gateway->frozen_until_ms = now_ms + random_below(4000);
         }
-        if (draw(60) == 0) {
-            gateway->cut_until_ms = now_ms + draw(4000);
+        if (random_below(60) == 0) {
+            gateway->partitioned_until_ms = now_ms + random_below(4000);
         }
         if (now_ms >= next_leader_ms) {
             quota_table_clear(&table, now_ms);
-            next_leader_ms = now_ms + WINDOW_MS / 2 + draw(_i < 20 ? 100 : 5000);
+            next_leader_ms = now_ms + WINDOW_MS / 2 + random_below(_i < 20 ? 100 : 5000);
         }
-        step(tenant->rate_per_s * (2 + draw(6)));
+        step(tenant->rate_per_s * (2 + random_below(6)));
     }
-    ck_assert_double_le((double)most_in_a_window(0), limit());
+    ck_assert_double_le((double)max_in_a_window(0), limit());
 }
 END_TEST
 
-START_TEST(a_lower_limit_binds_one_window_after_it_came)
+START_TEST(a_lowered_limit_applies_after_one_window)
 {
     while (now_ms < RUN_MS) {
         if (now_ms == RUN_MS / 2) {
@@ -216,20 +217,20 @@
         }
         step(200);
     }
-    ck_assert_double_le((double)most_in_a_window(RUN_MS / 2 + WINDOW_MS), limit());
+    ck_assert_double_le((double)max_in_a_window(RUN_MS / 2 + WINDOW_MS), limit());
 }
 END_TEST
 
-START_TEST(after_a_change_of_leader_the_usual_pace_goes_on)
+START_TEST(a_leader_change_refuses_nothing_below_the_limit)
 {
-    size_t before = 0;
+    size_t expected_refused = 0;
     while (now_ms < RUN_MS) {
         if (now_ms % 10000 == 0) {
             quota_table_clear(&table, now_ms);
         }
         step(tenant->rate_per_s / 1.6);
     }
-    ck_assert_uint_eq(refused, before);
+    ck_assert_uint_eq(refused, expected_refused);
 }
 END_TEST
 
@@ -241,38 +242,38 @@
     return share;
 }
 
-START_TEST(who_is_refused_is_told_when_there_is_more)
+START_TEST(a_refused_caller_gets_a_retry_delay)
 {
-    table.bounds = (quota_bounds_t){0};
+    table.tolerance = (quota_tolerance_t){0};
     tenant->rate_per_s = 10;
     tenant->burst = 5;
     quota_table_clear(&table, 500);
-    ck_assert_uint_eq(demand(500, 5, 0).granted, 0); /* nothing may be missed: a new leader begins with nothing */
+    ck_assert_uint_eq(demand(500, 5, 0).granted, 0); /* without a tolerance, a new leader starts with no tokens */
     ck_assert_uint_eq(demand(1000, 5, 0).granted, 5);
     QuotaShare share = demand(1000, 1, 0);
     ck_assert_uint_eq(share.granted, 0);
     ck_assert_uint_eq(share.retry_ms, 100);
-    ck_assert_uint_eq(demand(1000, 4, 0).retry_ms, 500); /* behind those that were refused before */
+    ck_assert_uint_eq(demand(1000, 4, 0).retry_ms, 500); /* behind the backlog of earlier refusals */
     ck_assert_uint_eq(demand(1500, 5, 0).granted, 5);
 }
 END_TEST
 
-/* Programs of 12 requests, of a tenant that may make 60 a second: five a second, whatever it begins. */
-START_TEST(a_tenant_over_its_limit_begins_what_it_can_finish)
+/* Programs of 12 requests under a limit of 60 requests per second: five programs per second are admitted. */
+START_TEST(a_tenant_over_its_limit_completes_admitted_programs)
 {
     uint32_t begun = 0;
     uint32_t refused_requests = 0;
-    uint32_t left[RUN_MS / 100 + 1] = {0};
+    uint32_t begun_at[RUN_MS / 100 + 1] = {0};
     tenant->rate_per_s = 60;
     tenant->burst = 60;
     for (uint64_t i = 0; i < RUN_MS / 100; i++) {
-        QuotaShare share = demand(1000 + i * 100, 0, 1); /* ten a second */
+        QuotaShare share = demand(1000 + i * 100, 0, 1); /* ten begins per second */
         begun += share.begun;
-        left[i] = share.begun;
-        /* Each program asks for eleven more, one each 200 ms. */
+        begun_at[i] = share.begun;
+        /* Each admitted program makes eleven more requests, one every 200 ms. */
         uint32_t wanted = 0;
         for (uint64_t k = 1; k <= 11; k++) {
-            wanted += i >= 2 * k ? left[i - 2 * k] : 0;
+            wanted += i >= 2 * k ? begun_at[i - 2 * k] : 0;
         }
         refused_requests += wanted - demand(1000 + i * 100, wanted, 0).granted;
     }
@@ -283,7 +284,7 @@
 }
 END_TEST
 
-START_TEST(a_limit_below_a_program_lets_one_pass)
+START_TEST(a_limit_smaller_than_a_program_admits_some)
 {
     uint32_t begun = 0;
     tenant->rate_per_s = 2;
@@ -296,34 +297,34 @@
 }
 END_TEST
 
-START_TEST(what_is_given_back_can_be_given_again)
+START_TEST(returned_tokens_are_granted_again)
 {
     QuotaShare share;
-    QuotaDemand back = {.tenant = tenant->hash, .wanted = 3, .returned = 3};
-    table.bounds = (quota_bounds_t){0};
+    QuotaDemand returning = {.tenant = tenant->hash, .wanted = 3, .returned = 3};
+    table.tolerance = (quota_tolerance_t){0};
     tenant->rate_per_s = 6;
     tenant->burst = 6;
     ck_assert_uint_eq(demand(1000, 6, 0).granted, 6);
     ck_assert_uint_eq(demand(1000, 3, 0).granted, 0);
-    quota_table_take(&table, 1000, tenant, &back, &share);
+    quota_table_take(&table, 1000, tenant, &returning, &share);
     ck_assert_uint_eq(share.granted, 3);
 }
 END_TEST
 
-START_TEST(a_token_is_good_for_a_moment)
+START_TEST(tokens_expire)
 {
-    quota_purses_t purses = {0};
-    quota_purses_put(&purses, 1000, 9, 2);
-    ck_assert(quota_purses_take(&purses, 1001, 9, QUOTA_USE_REQUEST));
-    ck_assert(!quota_purses_take(&purses, 1000 + QUOTA_HELD_MS, 9, QUOTA_USE_REQUEST));
-    ck_assert(purses.due);
-    ck_assert_uint_eq(purses.purses->waiting, 1);
-    ck_assert_uint_eq(purses.purses->unused, 1);
-    quota_purses_close(&purses);
+    quota_leases_t leases = {0};
+    quota_leases_add(&leases, 1000, 9, 2);
+    ck_assert(quota_leases_take(&leases, 1001, 9, QUOTA_USE_REQUEST));
+    ck_assert(!quota_leases_take(&leases, 1000 + QUOTA_LEASE_MS, 9, QUOTA_USE_REQUEST));
+    ck_assert(leases.due);
+    ck_assert_uint_eq(leases.by_tenant->waiting, 1);
+    ck_assert_uint_eq(leases.by_tenant->to_return, 1);
+    quota_leases_close(&leases);
 }
 END_TEST
 
-START_TEST(without_a_limit_or_a_tenant)
+START_TEST(only_a_known_tenant_without_a_limit_gets_all_tokens)
 {
     QuotaDemand demands[] = {{.tenant = tenant->hash, .wanted = 900}, {.tenant = 5, .wanted = 1}};
     QuotaAsk ask = {.demands_count = 2, .demands = demands};
@@ -342,17 +343,17 @@
     TCase *tests = tcase_create("fleet");
     tcase_set_timeout(tests, 60);
     tcase_add_checked_fixture(tests, setup, teardown);
-    tcase_add_test(tests, below_its_limit_a_tenant_is_not_refused);
-    tcase_add_test(tests, a_flood_gets_its_limit_and_not_more);
-    tcase_add_loop_test(tests, a_flood_under_faults_gets_not_more, 0, 40);
-    tcase_add_test(tests, a_lower_limit_binds_one_window_after_it_came);
-    tcase_add_test(tests, after_a_change_of_leader_the_usual_pace_goes_on);
-    tcase_add_test(tests, who_is_refused_is_told_when_there_is_more);
-    tcase_add_test(tests, a_tenant_over_its_limit_begins_what_it_can_finish);
-    tcase_add_test(tests, a_limit_below_a_program_lets_one_pass);
-    tcase_add_test(tests, what_is_given_back_can_be_given_again);
-    tcase_add_test(tests, a_token_is_good_for_a_moment);
-    tcase_add_test(tests, without_a_limit_or_a_tenant);
+    tcase_add_test(tests, a_tenant_below_its_limit_is_not_refused);
+    tcase_add_test(tests, overload_is_admitted_up_to_the_limit);
+    tcase_add_loop_test(tests, the_limit_holds_under_faults, 0, 40);
+    tcase_add_test(tests, a_lowered_limit_applies_after_one_window);
+    tcase_add_test(tests, a_leader_change_refuses_nothing_below_the_limit);
+    tcase_add_test(tests, a_refused_caller_gets_a_retry_delay);
+    tcase_add_test(tests, a_tenant_over_its_limit_completes_admitted_programs);
+    tcase_add_test(tests, a_limit_smaller_than_a_program_admits_some);
+    tcase_add_test(tests, returned_tokens_are_granted_again);
+    tcase_add_test(tests, tokens_expire);
+    tcase_add_test(tests, only_a_known_tenant_without_a_limit_gets_all_tokens);
     suite_add_tcase(suite, tests);
     return suite_run(suite);
 }
--- a/tests/unit/replica_join.c
+++ b/tests/unit/replica_join.c
@@ -1,4 +1,4 @@
-/* A replica that organizes its members by itself, hosted without disk and network. */
+/* Tests membership, retirement and a blocked disk with one replica; disk and network are stubs. */
 #include <stdio.h>
 #include <string.h>
 
@@ -6,7 +6,7 @@
 #include "core/replica.h"
 #include "suite.h"
 
-enum { STEP_MS = 100, NEWCOMER = 9 };
+enum { STEP_MS = 100, NEW_NODE = 9 };
 
 static struct replica replica;
 static ResultCode last_code;
@@ -27,9 +27,9 @@
     (void)entry;
 }
 
-static enum replica_sync on_sync(void *context)
+static enum replica_sync_result on_sync(void *context)
 {
-    return *(enum replica_sync *)context;
+    return *(enum replica_sync_result *)context;
 }
 
 static bool on_snapshot_begin(void *context, uint32_t group, const struct raft_snapshot *snapshot)
@@ -62,14 +62,14 @@
     (void)group;
 }
 
-static bool on_snapshot_read(void *context, uint32_t group, uint64_t index, uint64_t at, size_t most,
+static bool on_snapshot_read(void *context, uint32_t group, uint64_t index, uint64_t offset, size_t max_bytes,
                              struct buffer *out)
 {
     (void)context;
     (void)group;
     (void)index;
-    (void)at;
-    (void)most;
+    (void)offset;
+    (void)max_bytes;
     (void)out;
     return false;
 }
@@ -85,7 +85,7 @@
     }
 }
 
-static enum replica_sync sync_result;
+static enum replica_sync_result sync_result;
 static bool request_again;
 
 static void advance(int steps)
@@ -117,8 +117,8 @@
         .groups = 1,
         .election_timeout_ms = 400,
         .heartbeat_ms = 80,
-        .self_organized = true,
-        .steady_stamps = true,
+        .auto_membership = true,
+        .monotonic_timestamps = true,
     };
     config.members.count = 1;
     config.members.nodes[0] = 1;
@@ -146,12 +146,12 @@
     frame.payload.request.kind = kind;
     frame.payload.request.again = request_again;
     frame.payload.request.body = buffer_view(&body);
-    replica_receive(&replica, now_ms, NEWCOMER, &frame);
+    replica_receive(&replica, now_ms, NEW_NODE, &frame);
     replica_flush(&replica, now_ms);
     buffer_close(&body);
 }
 
-static void ask_to_join_as(uint32_t node, uint32_t ip, const char *name)
+static void request_join_as(uint32_t node, uint32_t ip, const char *name)
 {
     JoinRequest join = {.has_member = true};
     join.member.node = node;
@@ -161,9 +161,9 @@
     request(REQUEST_JOIN, JoinRequest_fields, &join);
 }
 
-static void ask_to_join(uint32_t node, uint32_t ip)
+static void request_join(uint32_t node, uint32_t ip)
 {
-    ask_to_join_as(node, ip, "store-9");
+    request_join_as(node, ip, "store-9");
 }
 
 static const struct raft_members *members(void)
@@ -171,32 +171,32 @@
     return &replica.groups[0].raft.members;
 }
 
-/* A newcomer has answered nothing yet; that is no silence. */
-START_TEST(a_newcomer_stays)
+/* A new member that has not replied to the leader yet does not count as unreachable. */
+START_TEST(new_member_is_kept)
 {
-    ask_to_join(NEWCOMER, 77);
+    request_join(NEW_NODE, 77);
     ck_assert_int_eq(last_code, RESULT_OK);
     for (int i = 0; i < 20; i++) {
         advance(1);
         ck_assert_uint_eq(members()->count, 2);
     }
     ck_assert(members()->learners[1]);
-    ck_assert_str_eq(members()->places[1].name, "store-9");
+    ck_assert_str_eq(members()->locations[1].name, "store-9");
 }
 END_TEST
 
-START_TEST(a_machine_that_comes_back_under_another_id_replaces_itself)
+START_TEST(rejoin_under_new_id_replaces_old_member)
 {
-    ask_to_join(NEWCOMER, 77);
+    request_join(NEW_NODE, 77);
     advance(1);
-    ask_to_join(NEWCOMER + 1, 77);
+    request_join(NEW_NODE + 1, 77);
     advance(5);
     ck_assert_uint_eq(members()->count, 2);
-    ck_assert_uint_eq(members()->nodes[1], NEWCOMER + 1);
+    ck_assert_uint_eq(members()->nodes[1], NEW_NODE + 1);
 }
 END_TEST
 
-static void put_version_four(void)
+static void propose_document(void)
 {
     Entry entry = {0};
     entry.which_command = Entry_document_put_tag;
@@ -205,11 +205,11 @@
     request(REQUEST_PROPOSE, Entry_fields, &entry);
 }
 
-/* While the disk takes nothing, nothing is acknowledged and nothing is lost. */
-START_TEST(a_blocked_disk_holds_answers_back)
+/* While the disk is blocked, proposals are neither acknowledged nor lost. */
+START_TEST(blocked_disk_delays_replies)
 {
     sync_result = REPLICA_SYNC_BLOCKED;
-    put_version_four();
+    propose_document();
     advance(10);
     ck_assert_int_eq(last_code, RESULT_TIMEOUT);
     ck_assert_uint_eq(replica.groups[0].machine.site.document.version, 0);
@@ -221,28 +221,28 @@
 }
 END_TEST
 
-START_TEST(the_last_machines_may_not_be_emptied)
+START_TEST(retirement_below_member_minimum_is_refused)
 {
     Entry entry = {0};
     entry.which_command = Entry_retire_start_tag;
     entry.command.retire_start.machine = (char *)"store-9";
     request(REQUEST_PROPOSE, Entry_fields, &entry);
     ck_assert_int_eq(last_code, RESULT_NOT_FOUND);
-    ask_to_join(NEWCOMER, 77);
+    request_join(NEW_NODE, 77);
     request(REQUEST_PROPOSE, Entry_fields, &entry);
     ck_assert_int_eq(last_code, RESULT_LIMIT);
 }
 END_TEST
 
-/* A large site has more machines than members; those that wait hold nothing and may be emptied at once. */
-START_TEST(a_machine_that_waits_is_known)
+/* A machine beyond the member limit holds no data and may be retired. */
+START_TEST(machine_that_is_not_a_member_can_be_retired)
 {
-    enum { ASKING = 9, MEMBERS = MEMBERSHIP_VOTERS_LARGE + MEMBERSHIP_SPARES };
+    enum { MACHINES = 9, MEMBERS = MEMBERSHIP_VOTERS_LARGE + MEMBERSHIP_SPARES };
     for (uint32_t round = 0; round < 5; round++) {
-        for (uint32_t i = 0; i < ASKING; i++) {
+        for (uint32_t i = 0; i < MACHINES; i++) {
             char name[RAFT_NAME_MAX];
             snprintf(name, sizeof(name), "store-%u", 10 + i);
-            ask_to_join_as(NEWCOMER + 1 + i, 100 + i, name);
+            request_join_as(NEW_NODE + 1 + i, 100 + i, name);
         }
         advance(2);
     }
@@ -258,14 +258,14 @@
 }
 END_TEST
 
-/* A gateway asks again where its answer is slow: the entry stands in the log once. */
-START_TEST(a_request_that_waits_is_not_taken_twice)
+/* Gateways retransmit a request whose reply is late. */
+START_TEST(retransmitted_request_is_proposed_once)
 {
     sync_result = REPLICA_SYNC_BLOCKED;
-    put_version_four();
+    propose_document();
     uint64_t last = raft_last_index(&replica.groups[0].raft);
     request_again = true;
-    put_version_four();
+    propose_document();
     ck_assert_uint_eq(raft_last_index(&replica.groups[0].raft), last);
     sync_result = REPLICA_SYNC_DONE;
     advance(2);
@@ -278,12 +278,12 @@
     Suite *suite = suite_create("replica_join");
     TCase *tests = tcase_create("one replica");
     tcase_add_checked_fixture(tests, setup, teardown);
-    tcase_add_test(tests, a_newcomer_stays);
-    tcase_add_test(tests, a_machine_that_comes_back_under_another_id_replaces_itself);
-    tcase_add_test(tests, a_blocked_disk_holds_answers_back);
-    tcase_add_test(tests, the_last_machines_may_not_be_emptied);
-    tcase_add_test(tests, a_machine_that_waits_is_known);
-    tcase_add_test(tests, a_request_that_waits_is_not_taken_twice);
+    tcase_add_test(tests, new_member_is_kept);
+    tcase_add_test(tests, rejoin_under_new_id_replaces_old_member);
+    tcase_add_test(tests, blocked_disk_delays_replies);
+    tcase_add_test(tests, retirement_below_member_minimum_is_refused);
+    tcase_add_test(tests, machine_that_is_not_a_member_can_be_retired);
+    tcase_add_test(tests, retransmitted_request_is_proposed_once);
     suite_add_tcase(suite, tests);
     return suite_run(suite);
 }
--- a/tests/unit/routing.c
+++ b/tests/unit/routing.c
@@ -17,9 +17,9 @@
     route->host = text_copy(host);
     route->prefix = text_copy(prefix);
     route->timeout_ms = 1000;
-    struct route_part *part = route_add_part(route);
-    part->service = text_copy(service);
-    part->weight = 1;
+    struct route_backend *backend = route_add_backend(route);
+    backend->service = text_copy(service);
+    backend->weight = 1;
     return route;
 }
 
@@ -36,7 +36,7 @@
     route_table_release(table);
 }
 
-static size_t faults(void)
+static size_t count_errors(void)
 {
     struct findings findings = {0};
     route_table_check(table, &findings);
@@ -56,7 +56,7 @@
     add_route("a.example", "/", "s1");
     add_route("a.example", "/x/", "s1");
     add_route("a.example", "/x/y/", "s1");
-    ck_assert_uint_eq(faults(), 0);
+    ck_assert_uint_eq(count_errors(), 0);
     ck_assert_str_eq(found("a.example", "/x/y/z?q=/"), "/x/y/");
     ck_assert_str_eq(found("A.Example:80", "/x/yz"), "/x/");
     ck_assert_str_eq(found("a.example", "/x"), "/");
@@ -64,43 +64,43 @@
 }
 END_TEST
 
-START_TEST(faults_are_all_reported)
+START_TEST(all_errors_are_reported)
 {
     add_route("a.example", "/x/", "s1");
     add_route("A.EXAMPLE", "/x/", "none")->timeout_ms = 0;
-    add_route("a.example", "no-slash", "s1")->parts[0].weight = 0;
+    add_route("a.example", "no-slash", "s1")->backends[0].weight = 0;
     table->version = 0;
-    ck_assert_uint_eq(faults(), 6);
+    ck_assert_uint_eq(count_errors(), 6);
 }
 END_TEST
 
-static bool all_usable(void *context, const char *service)
+static bool is_not_excluded(void *context, const char *service)
 {
     (void)service;
     return context == NULL || strcmp(service, context) != 0;
 }
 
-START_TEST(weights_are_kept_exactly)
+START_TEST(backends_are_chosen_exactly_by_weight)
 {
     struct route *route = add_route("a.example", "/", "s1");
-    struct route_part *part = route_add_part(route);
-    part->service = text_copy("s2");
-    part->weight = 1;
-    route->parts[0].weight = 9;
+    struct route_backend *backend = route_add_backend(route);
+    backend->service = text_copy("s2");
+    backend->weight = 1;
+    route->backends[0].weight = 9;
     int first = 0;
     for (int i = 0; i < 100; i++) {
-        first += strcmp(route_choose_part(route, all_usable, NULL)->service, "s1") == 0 ? 1 : 0;
+        first += strcmp(route_choose_backend(route, is_not_excluded, NULL)->service, "s1") == 0 ? 1 : 0;
     }
     ck_assert_int_eq(first, 90);
-    ck_assert_str_eq(route_choose_part(route, all_usable, (void *)"s1")->service, "s2");
+    ck_assert_str_eq(route_choose_backend(route, is_not_excluded, (void *)"s1")->service, "s2");
 }
 END_TEST
 
-START_TEST(a_pinned_table_outlives_its_replacement)
+START_TEST(a_retained_table_outlives_its_replacement)
 {
-    struct route_table *pinned = route_table_hold(table);
+    struct route_table *retained = route_table_retain(table);
     route_table_release(table);
-    table = pinned;
+    table = retained;
     ck_assert_uint_eq(table->version, 1);
 }
 END_TEST
@@ -109,7 +109,7 @@
 
 static struct server_table servers;
 
-static void take_servers(ServerRecord *records, pb_size_t count)
+static void set_servers(ServerRecord *records, pb_size_t count)
 {
     ServerList list = {.servers_count = count, .servers = records};
     server_table_update(&servers, &list);
@@ -133,198 +133,194 @@
     return item;
 }
 
-START_TEST(a_draining_server_gets_nothing_for_good)
+START_TEST(a_draining_server_never_gets_requests_again)
 {
     ServerRecord first[] = {record("a", false), record("b", true)};
     ServerRecord second[] = {record("a", true), record("b", false)};
-    struct server_wish wish = {.service = "s", .zone = "z"};
-    take_servers(first, 2);
-    ck_assert_str_eq(server_table_choose(&servers, 1, &wish)->id, "a");
-    take_servers(second, 2);
-    ck_assert_ptr_null(server_table_choose(&servers, 1, &wish));
-    ck_assert(!server_table_serves(&servers, 1, "s", &(struct server_wish){0}));
+    struct server_criteria criteria = {.service = "s", .zone = "z"};
+    set_servers(first, 2);
+    ck_assert_str_eq(server_table_choose(&servers, 1, &criteria)->id, "a");
+    set_servers(second, 2);
+    ck_assert_ptr_null(server_table_choose(&servers, 1, &criteria));
+    ck_assert(!server_table_has_available(&servers, 1, "s", &(struct server_criteria){0}));
 }
 END_TEST
 
 START_TEST(calls_spread_over_idle_servers)
 {
     ServerRecord list[] = {record("a", false), record("b", false), record("c", false)};
-    struct server_wish wish = {.service = "s", .zone = "z"};
-    take_servers(list, 3);
+    struct server_criteria criteria = {.service = "s", .zone = "z"};
+    set_servers(list, 3);
     for (int i = 0; i < 6; i++) {
-        server_begin(server_table_choose(&servers, 1, &wish), 1);
+        server_begin_request(server_table_choose(&servers, 1, &criteria), 1);
     }
     for (const struct server *server = servers.servers; server != NULL; server = server->hh.next) {
-        ck_assert_uint_eq(server->calls, 2);
+        ck_assert_uint_eq(server->in_flight, 2);
     }
 }
 END_TEST
 
-/* Every gateway begins with the same server for an object, and leaves it once it is that much busier. */
-START_TEST(an_object_has_a_server_until_that_is_busy)
+START_TEST(an_object_goes_to_one_server_until_it_is_busy)
 {
     ServerRecord list[] = {record("a", false), record("b", false), record("c", false)};
-    struct server_wish wish = {.service = "s", .zone = "z"};
+    struct server_criteria criteria = {.service = "s", .zone = "z"};
     int first[3] = {0};
-    take_servers(list, 3);
+    set_servers(list, 3);
     for (uint64_t object = 1; object <= 60; object++) {
-        wish.object = object * 0x9e3779b97f4a7c15ULL;
-        struct server *server = server_table_choose(&servers, 1, &wish);
-        ck_assert_ptr_eq(server_table_choose(&servers, 1, &wish), server);
+        criteria.affinity_key = object * 0x9e3779b97f4a7c15ULL;
+        struct server *server = server_table_choose(&servers, 1, &criteria);
+        ck_assert_ptr_eq(server_table_choose(&servers, 1, &criteria), server);
         first[server->id[0] - 'a']++;
     }
     ck_assert(first[0] > 9 && first[1] > 9 && first[2] > 9);
-    struct server *home = server_table_choose(&servers, 1, &wish);
-    for (int i = 0; i < SERVER_OBJECT_CALLS; i++) {
-        ck_assert_ptr_eq(server_table_choose(&servers, 1, &wish), home);
-        server_begin(home, 1);
+    struct server *preferred = server_table_choose(&servers, 1, &criteria);
+    for (int i = 0; i < SERVER_AFFINITY_MISS_REQUESTS; i++) {
+        ck_assert_ptr_eq(server_table_choose(&servers, 1, &criteria), preferred);
+        server_begin_request(preferred, 1);
     }
-    server_begin(home, 1);
-    ck_assert_ptr_ne(server_table_choose(&servers, 1, &wish), home);
-    wish.object = 0;
-    ck_assert_ptr_ne(server_table_choose(&servers, 1, &wish), home);
+    server_begin_request(preferred, 1);
+    ck_assert_ptr_ne(server_table_choose(&servers, 1, &criteria), preferred);
+    criteria.affinity_key = 0;
+    ck_assert_ptr_ne(server_table_choose(&servers, 1, &criteria), preferred);
 }
 END_TEST
 
 START_TEST(a_program_stays_at_its_home_until_it_is_busy)
 {
     ServerRecord list[] = {record("a", false), record("b", false), record("c", false)};
-    struct server_wish wish = {.service = "s", .zone = "z", .home = "b"};
-    take_servers(list, 3);
-    struct server *home = server_table_choose(&servers, 1, &wish);
+    struct server_criteria criteria = {.service = "s", .zone = "z", .home = "b"};
+    set_servers(list, 3);
+    struct server *home = server_table_choose(&servers, 1, &criteria);
     ck_assert_str_eq(home->id, "b");
-    for (int i = 0; i < 6 + SERVER_HOME_QUEUE; i++) {
-        ck_assert_ptr_eq(server_table_choose(&servers, 1, &wish), home);
-        server_begin(home, 1);
+    for (int i = 0; i < 6 + SERVER_HOME_MAX_QUEUE; i++) {
+        ck_assert_ptr_eq(server_table_choose(&servers, 1, &criteria), home);
+        server_begin_request(home, 1);
     }
-    ck_assert_ptr_ne(server_table_choose(&servers, 1, &wish), home);
-    /* Where all are as busy, it stays. */
-    for (int i = 0; i < 2 * (6 + SERVER_HOME_QUEUE - SERVER_LEAVE_CALLS + 1); i++) {
-        wish.home = NULL;
-        server_begin(server_table_choose(&servers, 1, &wish), 1);
+    ck_assert_ptr_ne(server_table_choose(&servers, 1, &criteria), home);
+    /* It stays if all servers are equally busy. */
+    for (int i = 0; i < 2 * (6 + SERVER_HOME_MAX_QUEUE - SERVER_LEAVE_MARGIN_REQUESTS + 1); i++) {
+        criteria.home = NULL;
+        server_begin_request(server_table_choose(&servers, 1, &criteria), 1);
     }
-    wish.home = "b";
-    ck_assert_ptr_eq(server_table_choose(&servers, 1, &wish), home);
-    wish.tried[wish.tried_count++] = home;
-    ck_assert_ptr_ne(server_table_choose(&servers, 1, &wish), home);
+    criteria.home = "b";
+    ck_assert_ptr_eq(server_table_choose(&servers, 1, &criteria), home);
+    criteria.tried[criteria.tried_count++] = home;
+    ck_assert_ptr_ne(server_table_choose(&servers, 1, &criteria), home);
 }
 END_TEST
 
-static bool first_is_warm(void *context, const char *address)
+static bool has_idle_connection_to_first(void *context, const char *address)
 {
     (void)context;
     return strcmp(address, "127.0.0.1:1") == 0;
 }
 
-/* The preferred server is chosen although it has one call under way and the other none, and not with three. */
-static void expect_choices_after_calls(const char *preferred, const char *other, const struct server_wish *wish)
+/* `preferred` is chosen while it has one call in flight and the other none, but not with three. */
+static void expect_choices_after_calls(const char *preferred, const char *other, const struct server_criteria *criteria)
 {
     struct server *server = NULL;
     HASH_FIND_STR(servers.servers, preferred, server);
-    server_begin(server, 1);
-    ck_assert_str_eq(server_table_choose(&servers, 1, wish)->id, preferred);
-    server_begin(server, 1);
-    server_begin(server, 1);
-    ck_assert_str_eq(server_table_choose(&servers, 1, wish)->id, other);
+    server_begin_request(server, 1);
+    ck_assert_str_eq(server_table_choose(&servers, 1, criteria)->id, preferred);
+    server_begin_request(server, 1);
+    server_begin_request(server, 1);
+    ck_assert_str_eq(server_table_choose(&servers, 1, criteria)->id, other);
 }
 
-/* A new connection is opened only where the servers with a resting one have more to do. */
-START_TEST(a_resting_connection_is_worth_some_calls)
+START_TEST(an_idle_connection_is_worth_some_calls)
 {
     ServerRecord list[] = {record("a", false), record("b", false)};
-    struct server_wish wish = {.service = "s", .zone = "z", .warm = first_is_warm};
+    struct server_criteria criteria = {
+        .service = "s", .zone = "z", .has_idle_connection = has_idle_connection_to_first};
     list[1].address = (char *)"127.0.0.1:2";
-    take_servers(list, 2);
-    expect_choices_after_calls("a", "b", &wish);
+    set_servers(list, 2);
+    expect_choices_after_calls("a", "b", &criteria);
 }
 END_TEST
 
-/* Another zone is used only where the servers of the own one have more to do. */
-START_TEST(the_own_zone_is_worth_some_calls)
+START_TEST(the_local_zone_is_worth_some_calls)
 {
     ServerRecord list[] = {record("near", false), record("far", false)};
-    struct server_wish wish = {.service = "s", .zone = "z"};
+    struct server_criteria criteria = {.service = "s", .zone = "z"};
     list[1].zone = (char *)"other";
-    take_servers(list, 2);
-    expect_choices_after_calls("near", "far", &wish);
+    set_servers(list, 2);
+    expect_choices_after_calls("near", "far", &criteria);
 }
 END_TEST
 
-/* What other gateways have under way counts, for a while. */
-START_TEST(loads_of_other_gateways_count)
+START_TEST(loads_of_other_gateways_count_until_they_expire)
 {
     ServerRecord list[] = {record("a", false), record("b", false)};
-    struct server_wish wish = {.service = "s", .zone = "z"};
-    take_servers(list, 2);
-    struct server *first = server_table_choose(&servers, 1, &wish);
+    struct server_criteria criteria = {.service = "s", .zone = "z"};
+    set_servers(list, 2);
+    struct server *first = server_table_choose(&servers, 1, &criteria);
     ServerLoad load = {.server = first->hash, .calls = 3};
     LoadTotals totals = {.loads_count = 1, .loads = &load};
-    server_table_take_loads(&servers, 1000, &totals);
+    server_table_set_other_loads(&servers, 1000, &totals);
     for (int i = 0; i < 3; i++) {
-        struct server *other = server_table_choose(&servers, 1001, &wish);
+        struct server *other = server_table_choose(&servers, 1001, &criteria);
         ck_assert_ptr_ne(other, first);
-        server_begin(other, 1000);
+        server_begin_request(other, 1000);
     }
-    server_table_take_loads(&servers, 1000, &(const LoadTotals){0});
-    ck_assert_uint_eq(first->others, 0);
-    server_table_take_loads(&servers, 1000, &totals);
-    server_begin(first, 1000);
-    server_heard(first, 1000 + SERVER_LOADS_VALID_MS);
-    ck_assert_ptr_eq(server_table_choose(&servers, 1000 + SERVER_LOADS_VALID_MS, &wish), first);
+    server_table_set_other_loads(&servers, 1000, &(const LoadTotals){0});
+    ck_assert_uint_eq(first->other_in_flight, 0);
+    server_table_set_other_loads(&servers, 1000, &totals);
+    server_begin_request(first, 1000);
+    server_record_received(first, 1000 + SERVER_LOADS_VALID_MS);
+    ck_assert_ptr_eq(server_table_choose(&servers, 1000 + SERVER_LOADS_VALID_MS, &criteria), first);
 }
 END_TEST
 
-/* Two dials to a silent server without an answer: it is lost, until something comes from it. */
-static void lose(struct server *server, uint64_t now_ms)
+static void make_unreachable(struct server *server, uint64_t now_ms)
 {
-    for (int i = 0; i < REACH_DIALS; i++) {
-        reach_note_dial(&server->reach);
-        reach_note_outcome(&server->reach, now_ms, false);
+    for (int i = 0; i < REACH_UNREACHABLE_PROBES; i++) {
+        reach_record_probe_start(&server->reach);
+        reach_record_outcome(&server->reach, now_ms, false);
     }
 }
 
-START_TEST(a_lost_server_is_passed_over)
+START_TEST(an_unreachable_server_is_skipped)
 {
     ServerRecord list[] = {record("a", false), record("b", false)};
-    struct server_wish wish = {.service = "s", .zone = "z"};
-    take_servers(list, 2);
-    struct server *lost = server_table_choose(&servers, 1000, &wish);
-    server_begin(lost, 1000);
-    struct server *other = server_table_choose(&servers, 1000, &wish);
-    server_begin(other, 1000);
-    server_begin(other, 1000);
-    ck_assert_ptr_eq(server_table_choose(&servers, 1300, &wish), lost);
-    lose(lost, 1300);
-    ck_assert_ptr_eq(server_table_choose(&servers, 1300, &wish), other);
-    server_heard(lost, 1400);
-    ck_assert_ptr_eq(server_table_choose(&servers, 1400, &wish), lost);
+    struct server_criteria criteria = {.service = "s", .zone = "z"};
+    set_servers(list, 2);
+    struct server *unreachable = server_table_choose(&servers, 1000, &criteria);
+    server_begin_request(unreachable, 1000);
+    struct server *other = server_table_choose(&servers, 1000, &criteria);
+    server_begin_request(other, 1000);
+    server_begin_request(other, 1000);
+    ck_assert_ptr_eq(server_table_choose(&servers, 1300, &criteria), unreachable);
+    make_unreachable(unreachable, 1300);
+    ck_assert_ptr_eq(server_table_choose(&servers, 1300, &criteria), other);
+    server_record_received(unreachable, 1400);
+    ck_assert_ptr_eq(server_table_choose(&servers, 1400, &criteria), unreachable);
 }
 END_TEST
 
-START_TEST(where_none_is_sound_any_open_one_serves)
+START_TEST(if_none_is_reachable_an_unreachable_one_is_chosen)
 {
     ServerRecord list[] = {record("a", false), record("b", true)};
-    struct server_wish wish = {.service = "s", .zone = "z"};
-    take_servers(list, 2);
-    struct server *server = server_table_choose(&servers, 1000, &wish);
-    lose(server, 1000);
-    ck_assert_ptr_eq(server_table_choose(&servers, 1001, &wish), server);
+    struct server_criteria criteria = {.service = "s", .zone = "z"};
+    set_servers(list, 2);
+    struct server *server = server_table_choose(&servers, 1000, &criteria);
+    make_unreachable(server, 1000);
+    ck_assert_ptr_eq(server_table_choose(&servers, 1001, &criteria), server);
     server->full_until_ms = 1100;
-    ck_assert_ptr_null(server_table_choose(&servers, 1001, &wish));
+    ck_assert_ptr_null(server_table_choose(&servers, 1001, &criteria));
 }
 END_TEST
 
-START_TEST(a_server_under_way_outlives_the_list)
+START_TEST(an_unlisted_server_is_kept_until_its_calls_end)
 {
     ServerRecord list[] = {record("a", false)};
-    struct server_wish wish = {.service = "s", .zone = "z"};
-    take_servers(list, 1);
-    struct server *server = server_table_choose(&servers, 1, &wish);
-    server_begin(server, 1);
-    take_servers(NULL, 0);
-    ck_assert_ptr_null(server_table_choose(&servers, 1, &wish));
+    struct server_criteria criteria = {.service = "s", .zone = "z"};
+    set_servers(list, 1);
+    struct server *server = server_table_choose(&servers, 1, &criteria);
+    server_begin_request(server, 1);
+    set_servers(NULL, 0);
+    ck_assert_ptr_null(server_table_choose(&servers, 1, &criteria));
     ck_assert_str_eq(server->id, "a");
-    server_end(&servers, server);
+    server_end_request(&servers, server);
     ck_assert_uint_eq(HASH_COUNT(servers.servers), 0);
 }
 END_TEST
@@ -347,19 +343,18 @@
     watch_state_close(&state);
 }
 
-START_TEST(the_own_zone_is_watched_first_and_left_when_silent)
+START_TEST(a_replica_in_the_local_zone_is_watched_first_and_left_when_silent)
 {
     Watch watch;
     ck_assert(watch_client_tick(&client, 1000, &state, &watch));
     ck_assert_uint_eq(client.target, 2);
-    ck_assert(!watch_client_tick(&client, 1000 + WATCH_ANSWER_MS, &state, &watch));
-    ck_assert(watch_client_tick(&client, 1000 + WATCH_ANSWER_MS + WATCH_RETRY_MS, &state, &watch));
+    ck_assert(!watch_client_tick(&client, 1000 + WATCH_REPLY_TIMEOUT_MS, &state, &watch));
+    ck_assert(watch_client_tick(&client, 1000 + WATCH_REPLY_TIMEOUT_MS + WATCH_RETRY_MS, &state, &watch));
     ck_assert_uint_ne(client.target, 2);
 }
 END_TEST
 
-/* A watch that had to leave its zone returns, though not at once. */
-START_TEST(the_own_zone_is_watched_again)
+START_TEST(a_watch_returns_to_the_local_zone)
 {
     static const struct watch_candidate far[] = {{1, false}};
     static const struct watch_candidate both[] = {{1, false}, {2, true}};
@@ -370,15 +365,15 @@
     WatchUpdate update = {.sequence = watch.sequence, .fresh = true};
     watch_client_receive(&client, 1001, 1, &update, &state);
     watch_client_set_candidates(&client, both, 2);
-    uint64_t later_ms = 1000 + WATCH_NEAR_PERIOD_MS;
+    uint64_t later_ms = 1000 + WATCH_SAME_ZONE_RETRY_MS;
     ck_assert(watch_client_tick(&client, later_ms, &state, &watch));
     ck_assert_uint_eq(client.target, 2);
-    ck_assert(watch_client_tick(&client, later_ms + WATCH_ANSWER_MS + WATCH_RETRY_MS, &state, &watch) == false);
-    ck_assert(watch_client_tick(&client, later_ms + 2 * WATCH_ANSWER_MS + WATCH_RETRY_MS, &state, &watch));
+    ck_assert(watch_client_tick(&client, later_ms + WATCH_REPLY_TIMEOUT_MS + WATCH_RETRY_MS, &state, &watch) == false);
+    ck_assert(watch_client_tick(&client, later_ms + 2 * WATCH_REPLY_TIMEOUT_MS + WATCH_RETRY_MS, &state, &watch));
 }
 END_TEST
 
-START_TEST(a_replica_out_of_touch_is_left)
+START_TEST(a_stale_replica_is_left)
 {
     Watch watch;
     watch_client_tick(&client, 1000, &state, &watch);
@@ -394,7 +389,7 @@
 }
 END_TEST
 
-START_TEST(a_watcher_never_goes_back)
+START_TEST(a_watcher_ignores_older_versions)
 {
     WatchUpdate update = {.fresh = true, .document_version = 5, .document = view_of_string("five")};
     ck_assert(watch_client_receive(&client, 1, 1, &update, &state).document);
@@ -409,46 +404,46 @@
 }
 END_TEST
 
-/* What a replica holds that cannot know what is committed is neither told nor taken. */
+/* A replica without contact with a quorum sends no configuration, and none from it is accepted. */
 START_TEST(a_configuration_comes_only_from_a_fresh_replica)
 {
     static struct watch_server server;
-    static watch_told_t told;
+    static watch_outgoing_t outgoing;
     Watch watch = {.sequence = 1};
     memset(&server, 0, sizeof(server));
-    memset(&told, 0, sizeof(told));
+    memset(&outgoing, 0, sizeof(outgoing));
     watch_state_put_document(&state, 3, view_of_string("three"));
-    struct watch_entry *entry = watch_server_note(&server, 1000, 42, &watch);
-    ck_assert(!watch_server_owes(&server, entry, 1000, &state, false));
-    watch_server_tell(&server, entry, 1000, &state, &told);
-    ck_assert_uint_eq(told.update.document.length, 0);
-    ck_assert(watch_server_owes(&server, entry, 1000, &state, true));
-    watch_told_close(&told);
+    struct watch_entry *entry = watch_server_record_watch(&server, 1000, 42, &watch);
+    ck_assert(!watch_server_has_update(&server, entry, 1000, &state, false));
+    watch_server_fill_update(&server, entry, 1000, &state, &outgoing);
+    ck_assert_uint_eq(outgoing.update.document.length, 0);
+    ck_assert(watch_server_has_update(&server, entry, 1000, &state, true));
+    watch_outgoing_close(&outgoing);
     WatchUpdate update = {.fresh = false, .document_version = 5, .document = view_of_string("five")};
     ck_assert(!watch_client_receive(&client, 1, 1, &update, &state).document);
     ck_assert_uint_eq(state.document_version, 3);
 }
 END_TEST
 
-START_TEST(a_watcher_is_told_what_it_lacks_once)
+START_TEST(a_watcher_receives_each_version_once)
 {
     static struct watch_server server;
     memset(&server, 0, sizeof(server));
     Watch watch = {.sequence = 1};
-    static watch_told_t told;
-    memset(&told, 0, sizeof(told));
+    static watch_outgoing_t outgoing;
+    memset(&outgoing, 0, sizeof(outgoing));
     state.document_version = 3;
     buffer_append_text(&state.document, "three");
-    struct watch_entry *entry = watch_server_note(&server, 1000, 42, &watch);
-    ck_assert(watch_server_owes(&server, entry, 1000, &state, true));
-    told.update.fresh = true;
-    watch_server_tell(&server, entry, 1000, &state, &told);
-    ck_assert_uint_eq(told.update.document.length, 5);
-    watch_told_close(&told);
-    ck_assert(!watch_server_owes(&server, entry, 1000, &state, true));
+    struct watch_entry *entry = watch_server_record_watch(&server, 1000, 42, &watch);
+    ck_assert(watch_server_has_update(&server, entry, 1000, &state, true));
+    outgoing.update.fresh = true;
+    watch_server_fill_update(&server, entry, 1000, &state, &outgoing);
+    ck_assert_uint_eq(outgoing.update.document.length, 5);
+    watch_outgoing_close(&outgoing);
+    ck_assert(!watch_server_has_update(&server, entry, 1000, &state, true));
     state.document_version = 4;
-    ck_assert(watch_server_owes(&server, entry, 1000, &state, true));
-    ck_assert(!watch_server_owes(&server, entry, 1000 + WATCH_VALID_MS, &state, true));
+    ck_assert(watch_server_has_update(&server, entry, 1000, &state, true));
+    ck_assert(!watch_server_has_update(&server, entry, 1000 + WATCH_EXPIRY_MS, &state, true));
     ck_assert_uint_eq(watch_server_count(&server, 1000), 1);
 }
 END_TEST
@@ -459,30 +454,30 @@
     TCase *routes = tcase_create("routes");
     tcase_add_checked_fixture(routes, setup, teardown);
     tcase_add_test(routes, the_longest_prefix_of_the_host_wins);
-    tcase_add_test(routes, faults_are_all_reported);
-    tcase_add_test(routes, weights_are_kept_exactly);
-    tcase_add_test(routes, a_pinned_table_outlives_its_replacement);
+    tcase_add_test(routes, all_errors_are_reported);
+    tcase_add_test(routes, backends_are_chosen_exactly_by_weight);
+    tcase_add_test(routes, a_retained_table_outlives_its_replacement);
     suite_add_tcase(suite, routes);
     TCase *placement = tcase_create("servers");
     tcase_add_checked_fixture(placement, servers_setup, servers_teardown);
-    tcase_add_test(placement, a_draining_server_gets_nothing_for_good);
+    tcase_add_test(placement, a_draining_server_never_gets_requests_again);
     tcase_add_test(placement, calls_spread_over_idle_servers);
-    tcase_add_test(placement, an_object_has_a_server_until_that_is_busy);
+    tcase_add_test(placement, an_object_goes_to_one_server_until_it_is_busy);
     tcase_add_test(placement, a_program_stays_at_its_home_until_it_is_busy);
-    tcase_add_test(placement, a_resting_connection_is_worth_some_calls);
-    tcase_add_test(placement, the_own_zone_is_worth_some_calls);
-    tcase_add_test(placement, loads_of_other_gateways_count);
-    tcase_add_test(placement, a_lost_server_is_passed_over);
-    tcase_add_test(placement, where_none_is_sound_any_open_one_serves);
-    tcase_add_test(placement, a_server_under_way_outlives_the_list);
+    tcase_add_test(placement, an_idle_connection_is_worth_some_calls);
+    tcase_add_test(placement, the_local_zone_is_worth_some_calls);
+    tcase_add_test(placement, loads_of_other_gateways_count_until_they_expire);
+    tcase_add_test(placement, an_unreachable_server_is_skipped);
+    tcase_add_test(placement, if_none_is_reachable_an_unreachable_one_is_chosen);
+    tcase_add_test(placement, an_unlisted_server_is_kept_until_its_calls_end);
     suite_add_tcase(suite, placement);
     TCase *watches = tcase_create("watches");
     tcase_add_checked_fixture(watches, watch_setup, watch_teardown);
-    tcase_add_test(watches, the_own_zone_is_watched_first_and_left_when_silent);
-    tcase_add_test(watches, the_own_zone_is_watched_again);
-    tcase_add_test(watches, a_replica_out_of_touch_is_left);
-    tcase_add_test(watches, a_watcher_never_goes_back);
-    tcase_add_test(watches, a_watcher_is_told_what_it_lacks_once);
+    tcase_add_test(watches, a_replica_in_the_local_zone_is_watched_first_and_left_when_silent);
+    tcase_add_test(watches, a_watch_returns_to_the_local_zone);
+    tcase_add_test(watches, a_stale_replica_is_left);
+    tcase_add_test(watches, a_watcher_ignores_older_versions);
+    tcase_add_test(watches, a_watcher_receives_each_version_once);
     tcase_add_test(watches, a_configuration_comes_only_from_a_fresh_replica);
     suite_add_tcase(suite, watches);
     return suite_run(suite);
--- a/tests/unit/settings.c
+++ b/tests/unit/settings.c
@@ -1,4 +1,4 @@
-/* Settings: every fault is found in one pass, with its line. */
+/* Errors of a settings file are reported together, each with its line. */
 #include <stdio.h>
 #include <string.h>
 #include <unistd.h>
@@ -9,13 +9,13 @@
 static struct settings settings;
 static struct findings findings;
 
-static void load(const char *text)
+static void load_text(const char *text)
 {
     char path[] = "/tmp/bankbank-settings-XXXXXX";
-    int file = mkstemp(path);
-    ck_assert_int_ge(file, 0);
-    ck_assert_int_eq(write(file, text, strlen(text)), (ssize_t)strlen(text));
-    close(file);
+    int fd = mkstemp(path);
+    ck_assert_int_ge(fd, 0);
+    ck_assert_int_eq(write(fd, text, strlen(text)), (ssize_t)strlen(text));
+    close(fd);
     settings_load(&settings, path, &findings);
     settings_check(&settings, path, &findings);
     unlink(path);
@@ -27,13 +27,14 @@
     findings_close(&findings);
 }
 
-static bool found(const char *place_end, const char *text)
+static bool has_finding(const char *location_end, const char *text)
 {
     for (size_t i = 0; i < findings.count; i++) {
-        const char *place = findings.items[i].place;
-        size_t length = strlen(place_end);
-        bool at = strlen(place) >= length && strcmp(place + strlen(place) - length, place_end) == 0;
-        if (at && strstr(findings.items[i].text, text) != NULL) {
+        const char *location = findings.items[i].location;
+        size_t length = strlen(location_end);
+        bool location_matches =
+            strlen(location) >= length && strcmp(location + strlen(location) - length, location_end) == 0;
+        if (location_matches && strstr(findings.items[i].text, text) != NULL) {
             return true;
         }
     }
@@ -48,40 +49,40 @@
 }
 END_TEST
 
-START_TEST(all_faults_are_reported_together)
+START_TEST(all_errors_are_reported_together)
 {
-    load("node: 0\n"
-         "colour: red\n"
-         "threads: many\n"
-         "gateway_role: perhaps\n"
-         "zone: a\n"
-         "zone: b\n"
-         "caller_address: nowhere\n"
-         "replicas:\n"
-         "  - node: 2\n");
-    ck_assert(found(":1: node", "whole number"));
-    ck_assert(found(":2: colour", "unknown key"));
-    ck_assert(found(":3: threads", "whole number"));
-    ck_assert(found(":4: gateway_role", "true or false"));
-    ck_assert(found(":6: zone", "twice"));
-    ck_assert(found(":9: address", "required"));
-    ck_assert(found("caller_address", "IP:PORT"));
+    load_text("node: 0\n"
+              "colour: red\n"
+              "threads: many\n"
+              "gateway_role: perhaps\n"
+              "zone: a\n"
+              "zone: b\n"
+              "caller_address: nowhere\n"
+              "replicas:\n"
+              "  - node: 2\n");
+    ck_assert(has_finding(":1: node", "whole number"));
+    ck_assert(has_finding(":2: colour", "unknown key"));
+    ck_assert(has_finding(":3: threads", "whole number"));
+    ck_assert(has_finding(":4: gateway_role", "true or false"));
+    ck_assert(has_finding(":6: zone", "twice"));
+    ck_assert(has_finding(":9: address", "required"));
+    ck_assert(has_finding("caller_address", "IP:PORT"));
 }
 END_TEST
 
 START_TEST(broken_yaml_is_reported_with_its_line)
 {
-    load("node: 1\nzone: [unclosed\n");
+    load_text("node: 1\nzone: [unclosed\n");
     ck_assert_uint_ge(findings.count, 1);
     ck_assert_ptr_nonnull(strstr(findings.items[0].text, "not valid YAML"));
 }
 END_TEST
 
-START_TEST(a_fleet_is_read)
+START_TEST(replica_list_is_read)
 {
-    load("cluster: casa\nnode: 2\nstate_role: true\npeer_address: 127.0.0.1:4002\n"
-         "replicas:\n  - {node: 1, address: 127.0.0.1:4001}\n  - {node: 2, address: 127.0.0.1:4002}\n"
-         "  - {node: 3, address: 127.0.0.1:4003}\n");
+    load_text("cluster: casa\nnode: 2\nstate_role: true\npeer_address: 127.0.0.1:4002\n"
+              "replicas:\n  - {node: 1, address: 127.0.0.1:4001}\n  - {node: 2, address: 127.0.0.1:4002}\n"
+              "  - {node: 3, address: 127.0.0.1:4003}\n");
     ck_assert_uint_eq(findings.count, 0);
     struct raft_members members;
     settings_members(&settings, &members);
@@ -96,9 +97,9 @@
     TCase *tests = tcase_create("checks");
     tcase_add_checked_fixture(tests, NULL, teardown);
     tcase_add_test(tests, defaults_are_valid);
-    tcase_add_test(tests, all_faults_are_reported_together);
+    tcase_add_test(tests, all_errors_are_reported_together);
     tcase_add_test(tests, broken_yaml_is_reported_with_its_line);
-    tcase_add_test(tests, a_fleet_is_read);
+    tcase_add_test(tests, replica_list_is_read);
     suite_add_tcase(suite, tests);
     return suite_run(suite);
 }
--- a/tests/unit/suite.h
+++ b/tests/unit/suite.h
@@ -1,6 +1,6 @@
 /**
  * @file suite.h
- * Runs one check suite as a program.
+ * Runs suites of the Check unit test framework.
  */
 #ifndef BANKBANK_TESTS_SUITE_H
 #define BANKBANK_TESTS_SUITE_H
@@ -8,7 +8,7 @@
 #include <check.h>
 #include <stdlib.h>
 
-/** Runs the suite with each test forked or not; returns the exit status. */
+/** Returns the exit status of the test program. */
 static inline int suite_run_as(Suite *suite, enum fork_status forked)
 {
     SRunner *runner = srunner_create(suite);
@@ -19,14 +19,14 @@
     return failed == 0 ? EXIT_SUCCESS : EXIT_FAILURE;
 }
 
-/** Runs the suite, as the environment says (CK_FORK), and returns the exit status. */
+/** Forks for each test unless the environment variable CK_FORK is "no". */
 static inline int suite_run(Suite *suite)
 {
     return suite_run_as(suite, CK_FORK_GETENV);
 }
 
-/** The same in this process: for tests that share what a fixture started in it. */
-static inline int suite_run_in_process(Suite *suite)
+/** Does not fork, for tests that share state with a fixture. */
+static inline int suite_run_without_fork(Suite *suite)
 {
     return suite_run_as(suite, CK_NOFORK);
 }
--- a/tests/unit/turns.c
+++ b/tests/unit/turns.c
@@ -1,4 +1,4 @@
-/* Turns as a tree, budgets, and the site's state as a whole. */
+/* Turn trees, budgets, documents and snapshots of the state of a site. */
 #include <string.h>
 
 #include "base/message.h"
@@ -58,7 +58,7 @@
     ck_assert(site_state_apply(&machine.site, 1, &entry, &result));
 }
 
-static void expect_chain(const char *turn, const char *expected)
+static void check_chain(const char *turn, const char *expected)
 {
     struct buffer text = {0};
     const struct turn *found = turn_store_find(&machine.site.turns, turn);
@@ -68,13 +68,13 @@
     buffer_close(&text);
 }
 
-START_TEST(branches_share_their_beginning)
+START_TEST(branches_share_their_ancestors)
 {
     ck_assert_int_eq(finish(1, "a", "", "A", 1000), RESULT_OK);
     ck_assert_int_eq(finish(2, "b", "a", "B", 1000), RESULT_OK);
     ck_assert_int_eq(finish(3, "c", "a", "C", 1000), RESULT_OK);
-    expect_chain("b", "A>\nB>\n");
-    expect_chain("c", "A>\nC>\n");
+    check_chain("b", "A>\nB>\n");
+    check_chain("c", "A>\nC>\n");
 }
 END_TEST
 
@@ -82,7 +82,7 @@
 {
     finish(1, "a", "", "A", 1000);
     ck_assert_int_eq(finish(2, "a", "", "other", 1000), RESULT_OK);
-    expect_chain("a", "A>\n");
+    check_chain("a", "A>\n");
 }
 END_TEST
 
@@ -93,23 +93,23 @@
 }
 END_TEST
 
-/* Retention counts from the last turn that goes on from a turn. */
-START_TEST(a_chain_stays_as_long_as_its_last_turn)
+/* A new descendant restarts the retention period of its ancestors. */
+START_TEST(a_chain_is_kept_until_its_last_turn_expires)
 {
-    uint64_t stays_ms = 1000 + SITE_TURN_SLACK_MS;
+    uint64_t kept_ms = 1000 + SITE_TURN_SLACK_MS;
     finish(1, "a", "", "A", 1000);
-    finish(1 + stays_ms / 2, "b", "a", "B", 1000);
-    turn_store_expire(&machine.site.turns, stays_ms + 2);
-    expect_chain("b", "A>\nB>\n");
-    turn_store_expire(&machine.site.turns, stays_ms * 2);
+    finish(1 + kept_ms / 2, "b", "a", "B", 1000);
+    turn_store_expire(&machine.site.turns, kept_ms + 2);
+    check_chain("b", "A>\nB>\n");
+    turn_store_expire(&machine.site.turns, kept_ms * 2);
     ck_assert_ptr_null(turn_store_find(&machine.site.turns, "b"));
-    turn_store_expire(&machine.site.turns, stays_ms * 2);
+    turn_store_expire(&machine.site.turns, kept_ms * 2);
     ck_assert_ptr_null(turn_store_find(&machine.site.turns, "a"));
     ck_assert_uint_eq(machine.site.turns.bytes, 0);
 }
 END_TEST
 
-START_TEST(a_clock_that_goes_back_brings_nothing_back)
+START_TEST(time_never_goes_backwards)
 {
     finish(100000, "a", "", "A", 1000);
     finish(50, "b", "", "B", 1000);
@@ -117,28 +117,28 @@
 }
 END_TEST
 
-START_TEST(a_cache_drops_what_was_used_least_lately)
+START_TEST(a_cache_evicts_the_least_recently_used_turn)
 {
     finish(1, "a", "", "AAAAAAAA", 1000);
     finish(2, "b", "", "BBBBBBBB", 1000);
     finish(3, "c", "a", "C", 1000);
     turn_store_shrink(&machine.site.turns, machine.site.turns.index_bytes * 2 / 3 + 15);
     ck_assert_ptr_null(turn_store_find(&machine.site.turns, "b"));
-    expect_chain("c", "AAAAAAAA>\nC>\n");
+    check_chain("c", "AAAAAAAA>\nC>\n");
 }
 END_TEST
 
-/* The form on disk of versions without tenants: 40 bytes of numbers, then the ids. */
-START_TEST(a_record_without_a_tenant_has_its_old_form)
+/* Earlier versions, which had no tenants, store a header of 40 bytes, followed by the ids. */
+START_TEST(a_record_without_a_tenant_keeps_the_old_format)
 {
-    enum { OLD_HEAD = 40 };
+    enum { OLD_HEADER_BYTES = 40 };
     turn_record_t record = {.id = view_of_string("t1"), .parent = view_of_string("t0"), .expires_ms = 77};
     turn_record_t read;
     struct buffer out = {0};
-    record.text.kind = TURN_TEXT_STORED;
+    record.text.kind = TURN_TEXT_IN_HISTORY;
     record.text.length = 5;
     turn_record_encode(&record, &out);
-    ck_assert_uint_eq(out.length, OLD_HEAD + 4);
+    ck_assert_uint_eq(out.length, OLD_HEADER_BYTES + 4);
     ck_assert(turn_record_decode(buffer_view(&out), &read));
     ck_assert_uint_eq(read.tenant, 0);
     buffer_clear(&out);
@@ -146,7 +146,7 @@
     turn_record_encode(&record, &out);
     ck_assert(turn_record_decode(buffer_view(&out), &read));
     ck_assert_uint_eq(read.tenant, record.tenant);
-    ck_assert_int_eq(read.text.kind, TURN_TEXT_STORED);
+    ck_assert_int_eq(read.text.kind, TURN_TEXT_IN_HISTORY);
     ck_assert_uint_eq(read.id.length, 2);
     ck_assert_mem_eq(read.parent.data, "t0", 2);
     ck_assert(!turn_record_decode(view_of(out.data, out.length - 1), &read));
@@ -154,7 +154,7 @@
 }
 END_TEST
 
-START_TEST(a_turn_keeps_its_tenant_through_every_form)
+START_TEST(a_turn_keeps_its_tenant_in_every_format)
 {
     struct turn_store other = {0};
     struct buffer local = {0};
@@ -168,9 +168,9 @@
     ck_assert(turn_record_from_wire(&in_memory, buffer_view(&wire), &back));
     ck_assert(turn_store_import(&other, buffer_view(&back)));
     const struct turn *turn = turn_store_find(&other, "a");
-    ck_assert(turn_is_of(turn, 42));
-    ck_assert(!turn_is_of(turn, 43));
-    ck_assert(!turn_is_of(turn, 0));
+    ck_assert(turn_is_visible_to(turn, 42));
+    ck_assert(!turn_is_visible_to(turn, 43));
+    ck_assert(!turn_is_visible_to(turn, 0));
     turn_store_close(&other);
     buffer_close(&local);
     buffer_close(&wire);
@@ -188,7 +188,7 @@
 }
 END_TEST
 
-START_TEST(a_program_is_told_where_it_ran_last)
+START_TEST(a_begin_returns_the_last_server)
 {
     Entry entry = {0};
     EntryResult result = {0};
@@ -221,7 +221,7 @@
 }
 END_TEST
 
-/* A settlement that overtakes its begin leaves nothing reserved. */
+/* A begin that arrives after its settlement must not leave a reservation. */
 START_TEST(a_late_begin_reserves_nothing)
 {
     settle("t1", 0);
@@ -242,7 +242,7 @@
     return result.revision;
 }
 
-START_TEST(the_highest_configuration_holds)
+START_TEST(the_highest_document_version_wins)
 {
     ck_assert_uint_eq(put_document(7, "seven"), 7);
     ck_assert_uint_eq(put_document(3, "three"), 7);
@@ -252,7 +252,7 @@
 }
 END_TEST
 
-START_TEST(a_snapshot_carries_everything)
+START_TEST(a_snapshot_restores_everything)
 {
     Entry retire = {0};
     EntryResult result = {0};
@@ -269,10 +269,10 @@
     setup();
     ck_assert(stream_read(&machine, &stream));
     buffer_close(&stream);
-    expect_chain("b", "A>\nB>\n");
+    check_chain("b", "A>\nB>\n");
     ck_assert_uint_eq(machine.site.document.version, 4);
     ck_assert_int_eq(begin("t2", 60, 100), RESULT_BUDGET);
-    ck_assert(site_state_is_retired(&machine.site, "store-1"));
+    ck_assert(site_state_is_retiring(&machine.site, "store-1"));
     ck_assert_uint_eq(machine.site.time_ms, 30);
 }
 END_TEST
@@ -282,20 +282,20 @@
     Suite *suite = suite_create("turns");
     TCase *tests = tcase_create("site state");
     tcase_add_checked_fixture(tests, setup, teardown);
-    tcase_add_test(tests, branches_share_their_beginning);
+    tcase_add_test(tests, branches_share_their_ancestors);
     tcase_add_test(tests, a_turn_is_stored_once);
     tcase_add_test(tests, a_turn_without_its_parent_is_refused);
-    tcase_add_test(tests, a_chain_stays_as_long_as_its_last_turn);
-    tcase_add_test(tests, a_clock_that_goes_back_brings_nothing_back);
-    tcase_add_test(tests, a_cache_drops_what_was_used_least_lately);
-    tcase_add_test(tests, a_record_without_a_tenant_has_its_old_form);
-    tcase_add_test(tests, a_turn_keeps_its_tenant_through_every_form);
+    tcase_add_test(tests, a_chain_is_kept_until_its_last_turn_expires);
+    tcase_add_test(tests, time_never_goes_backwards);
+    tcase_add_test(tests, a_cache_evicts_the_least_recently_used_turn);
+    tcase_add_test(tests, a_record_without_a_tenant_keeps_the_old_format);
+    tcase_add_test(tests, a_turn_keeps_its_tenant_in_every_format);
     tcase_add_test(tests, a_budget_counts_reservations_and_settlements);
-    tcase_add_test(tests, a_program_is_told_where_it_ran_last);
+    tcase_add_test(tests, a_begin_returns_the_last_server);
     tcase_add_test(tests, a_repeated_begin_or_settlement_counts_once);
     tcase_add_test(tests, a_late_begin_reserves_nothing);
-    tcase_add_test(tests, the_highest_configuration_holds);
-    tcase_add_test(tests, a_snapshot_carries_everything);
+    tcase_add_test(tests, the_highest_document_version_wins);
+    tcase_add_test(tests, a_snapshot_restores_everything);
     suite_add_tcase(suite, tests);
     return suite_run(suite);
 }
