--- a/src/core/ledger.h
+++ b/src/core/ledger.h
@@ -1,12 +1,13 @@
 /**
  * @file ledger.h
- * The programs of one partition, their calls and budgets: the state machine of a
- * replicated log. Applying an entry decides whether it is accepted, which
- * serializes the calls of a program without locks in the gateways.
+ * The programs of one partition (one group, see state_machine.h), their calls and
+ * budgets: the state machine of a replicated log. Applying an entry decides whether
+ * it is accepted, which serializes the calls of a program without locks in the
+ * gateways.
  *
  * A program is a sequence of calls to a model, each of which continues the stored
  * conversation; it may have sub-programs. An attempt is one execution of a call by
- * a gateway.
+ * a gateway at an engine (a model server).
  *
  * Call states: RUNNING -> FINISHED (answer stored) | UNKNOWN (may have run,
  * never runs again). A call that is known not to have run is removed.
--- a/src/core/ledger_calls.c
+++ b/src/core/ledger_calls.c
@@ -153,7 +153,7 @@
 }
 
 /* An attempt is lost if the lease of its gateway expired, it timed out (a delayed copy of a begin can start an attempt
- * that no gateway runs), or it was aborted with an unknown outcome. */
+ * that no gateway runs), or it was aborted and the call was kept (ledger_keep_for_retry()). */
 static bool ledger_attempt_is_lost(const struct ledger *ledger, const struct ledger_program *program,
                                    bool owner_expired)
 {
--- a/src/core/ledger_internal.h
+++ b/src/core/ledger_internal.h
@@ -16,6 +16,7 @@
 struct ledger_program *ledger_add(struct ledger *ledger, const char *id);
 void ledger_remove(struct ledger *ledger, struct ledger_program *program);
 void ledger_touch(struct ledger *ledger, struct ledger_program *program);
+/* Ends the program and its sub-programs and adds the releases of their engine memory. Running calls become unknown. */
 void ledger_end(struct ledger *ledger, struct ledger_program *program);
 void ledger_attach(struct ledger *ledger, struct ledger_program *program);
 struct ledger_program *ledger_root(struct ledger_program *program);
@@ -32,6 +33,7 @@
 void ledger_begin_call(struct ledger *ledger, bool owner_expired, const CallBegin *begin, EntryResult *result);
 void ledger_finish_call(struct ledger *ledger, const CallFinish *finish, EntryResult *result);
 void ledger_abort_call(struct ledger *ledger, const CallAbort *abort_entry);
+/* Sets a running call, if there is one, to unknown. */
 void ledger_abandon_running(struct ledger_program *program);
 
 /* ledger_handover.c */
--- a/src/core/load_table.h
+++ b/src/core/load_table.h
@@ -23,7 +23,7 @@
     LOAD_REPORTS_PER_S = 500, /**< Maximum, from all gateways together. */
     LOAD_TOTALS_PER_S = 250,  /**< Maximum number of messages, to all gateways together. */
     LOAD_MIN_VALID_MS = 600,  /**< Minimum lifetime of a report. */
-    LOAD_VALID_PERIODS = 3    /**< Lifetime of reports and totals in periods, if that is longer. */
+    LOAD_VALID_PERIODS = 3    /**< Lifetime of reports and totals in intervals between them, if that is longer. */
 };
 
 /** Totals of one server over all gateways. */
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -13,7 +13,7 @@
 {
     uint64_t key[2] = {candidate->name_hash, program_hash};
     uint64_t hash = XXH64(key, sizeof(key), 0);
-    double uniform = ((double)(hash >> 11) + 0.5) / 9007199254740992.0;
+    double uniform = ((double)(hash >> 11) + 0.5) / 9007199254740992.0; /* 53 bits, the precision of a double */
     double weight = candidate->weight == 0 ? 1.0 : (double)candidate->weight;
     return -weight / log(uniform);
 }
--- a/src/core/prefix_table.c
+++ b/src/core/prefix_table.c
@@ -73,7 +73,7 @@
     cost->tokens = (uint64_t)((int64_t)cost->tokens + (sample - (int64_t)cost->tokens) / PREFIX_AVERAGE_DIVISOR);
 }
 
-uint64_t prefix_cost_in_calls(const prefix_cost_t *cost, uint64_t tokens, uint64_t scale)
+uint64_t prefix_cost_in_requests(const prefix_cost_t *cost, uint64_t tokens, uint64_t scale)
 {
     return cost->tokens == 0 ? 0 : tokens * scale / cost->tokens;
 }
--- a/src/core/prefix_table.h
+++ b/src/core/prefix_table.h
@@ -55,6 +55,6 @@
 void prefix_cost_record(prefix_cost_t *cost, uint64_t unshared_tokens, uint64_t output_tokens);
 
 /** Converts tokens to requests, in units of 1 / `scale`; 0 if the average cost is unknown. */
-uint64_t prefix_cost_in_calls(const prefix_cost_t *cost, uint64_t tokens, uint64_t scale);
+uint64_t prefix_cost_in_requests(const prefix_cost_t *cost, uint64_t tokens, uint64_t scale);
 
 #endif
--- a/src/core/quota_lease.h
+++ b/src/core/quota_lease.h
@@ -4,12 +4,12 @@
  * (quota_table.h). No I/O; callers pass the time.
  *
  * A request takes a leased token or waits for the answer to the next token request
- * (QuotaAsk). This covers the waiting requests plus the number that arrived in the
- * previous QUOTA_PREFETCH_MS. Tokens expire QUOTA_LEASE_MS after the token request
- * is sent, so that a suspended or partitioned gateway does not use tokens of an
- * earlier window; expired tokens are returned with the next token request. The
- * begin (first request) of a program always waits for the leader, which admits
- * programs by a second bucket.
+ * (QuotaAsk). A token request asks for one token per waiting request and, to
+ * prefetch, for as many as requests arrived in the previous QUOTA_PREFETCH_MS.
+ * Tokens expire QUOTA_LEASE_MS after the token request is sent, so that a suspended
+ * or partitioned gateway does not use tokens of an earlier window; expired tokens
+ * are returned with the next token request. The begin (first request) of a program
+ * always waits for the leader, which admits programs by a second bucket.
  */
 #ifndef BANKBANK_CORE_QUOTA_LEASE_H
 #define BANKBANK_CORE_QUOTA_LEASE_H
--- a/src/core/reach.h
+++ b/src/core/reach.h
@@ -9,10 +9,11 @@
  *
  * An unreachable server gets no new requests while another one is eligible, and
  * requests that may run on another server are moved. Packet loss or a full accept
- * queue can also make probes fail, so it is probed again at once until it is
- * confirmed. Further probes cannot distinguish a full accept queue or a packet
- * filter from a crash. Requests that may run on one server only are moved when it
- * is dead: confirmed, and its kernel does not respond on an open connection either
+ * queue can also make probes fail, so it is probed again at once until
+ * REACH_CONFIRMED_PROBES have failed: it is then confirmed to be unreachable.
+ * Further probes cannot distinguish a full accept queue or a packet filter from a
+ * crash. Requests that may run on one server only are moved when it is dead:
+ * confirmed, and its kernel does not respond on an open connection either
  * (net/peer_keepalive.h).
  *
  * The tolerated silence is computed like a retransmission timeout (RFC 6298) from
@@ -63,7 +64,10 @@
     REACH_RECOVERED
 } reach_change_t;
 
-/** Whether to probe a server now; `busy`: it has in-flight requests, `last_activity_ms`: when it last sent data. */
+/**
+ * Whether to probe a server now. `busy`: it has in-flight requests; `last_activity_ms`: when it last sent data, or got
+ * a request while it had none in flight.
+ */
 bool reach_probe_is_due(const reach_t *reach, uint64_t now_ms, bool busy, uint64_t last_activity_ms);
 
 /** Records the start of a probe. */
--- a/src/core/server_choice.c
+++ b/src/core/server_choice.c
@@ -97,7 +97,7 @@
         return criteria->affinity_key == 0 ? 0 : (uint64_t)SERVER_AFFINITY_MISS_REQUESTS << SERVER_LOAD_FRACTION_BITS;
     }
     uint32_t uncached = prefix_table_uncached_tokens(&server->prefixes, now_ms, criteria->chain);
-    return prefix_cost_in_calls(criteria->cost, uncached, 1 << SERVER_LOAD_FRACTION_BITS);
+    return prefix_cost_in_requests(criteria->cost, uncached, 1 << SERVER_LOAD_FRACTION_BITS);
 }
 
 /* Fixed-point requests per slot; costs count as additional requests. */
--- a/src/core/server_list.c
+++ b/src/core/server_list.c
@@ -9,8 +9,8 @@
 #include "control.pb.h"
 
 enum {
-    SERVER_LIST_FIELD_KEY = (ServerList_servers_tag << 3) | PB_WT_STRING,
-    SERVER_LIST_VARINT_BITS = 7,
+    SERVER_LIST_FIELD_KEY = (ServerList_servers_tag << 3) | PB_WT_STRING, /* precedes each record of a ServerList */
+    SERVER_LIST_VARINT_BITS = 7,                                          /* payload bits per byte of a varint */
     SERVER_LIST_VARINT_CONTINUE = 1 << SERVER_LIST_VARINT_BITS
 };
 
--- a/src/core/server_table.h
+++ b/src/core/server_table.h
@@ -19,15 +19,17 @@
  * has. A server is also no longer used after another one has answered at its
  * address, even if a stale list still contains it.
  *
- * A server that has just started is used last and only with a token, if its
- * service configures a start rate (slow_start.h). Lists report a start with a
- * delay. A server that becomes reachable again, or whose zone is opened again,
- * therefore counts as just started for SERVER_RETURNED_MS.
+ * If its service configures a start rate (slow_start.h), a server that has just
+ * started gets a request only with a token, and counts as having additional
+ * requests in all of its slots. Lists report a start with a delay. A server that
+ * becomes reachable again, or whose zone is opened again, therefore counts as just
+ * started for SERVER_RETURNED_MS.
  *
  * Home: the server that has a program's conversation cached. A program leaves it
  * only when queueing there costs more than processing the conversation again
- * elsewhere. Leaving early amplifies an overload: programs that move are processed
- * again, which lengthens the queues that make others move.
+ * elsewhere, which delays the other requests there: about as much as a queue of
+ * SERVER_HOME_MAX_QUEUE requests. Leaving early amplifies an overload: programs
+ * that move are processed again, which lengthens the queues that make others move.
  *
  * Requests with the same affinity key go to one server, which then processes them
  * faster, unless it is much busier than others: rendezvous hashing with bounded
--- a/src/core/turn_store.c
+++ b/src/core/turn_store.c
@@ -309,7 +309,7 @@
         .parent = record->parent,
         .input = record->input,
         .output = record->output,
-        .retention_ms = record->expires_ms,
+        .retention_ms = record->expires_ms, /* counted from time 0 */
         .tenant = record->tenant,
     };
     return turn_store_add(store, 0, &content);
