--- a/tests/fuzz/fuzz_ledger.c
+++ b/tests/fuzz/fuzz_ledger.c
@@ -34,7 +34,7 @@
     bool ended;
     bool running;
     bool repeatable;
-    bool lost;       /* its attempt was aborted with an unknown outcome; may be retried */
+    bool lost;       /* its attempt was aborted, but it or an earlier one may have run; may be retried */
     bool after_loss; /* an earlier attempt may have run */
     uint32_t next;
     unsigned attempt;
--- a/tests/scripted/run_health.c
+++ b/tests/scripted/run_health.c
@@ -1,12 +1,12 @@
 /* Health of servers and its effect on the choice of a server:
  *   servers COUNT SLOTS           new servers s1, s2, ... in one service and zone
  *   at MS                         sets the time
- *   note SERVER OUTCOME COUNT     records COUNT outcomes: served, failed, refused or unanswered
- *   others SERVER PERCENT         sets the sum of the failure shares seen by other gateways
+ *   record SERVER OUTCOME COUNT   records COUNT outcomes: served, failed, refused or unanswered
+ *   other-failures SERVER PERCENT sets the sum of the failure shares seen by other gateways
  *   share SERVER                  prints the failure share in percent
  *   state SERVER                  prints the logged state: failing or healthy
- *   call COUNT                    places COUNT concurrent calls; prints the number at each server
- *   call COUNT home SERVER        the same for programs whose home is SERVER */
+ *   request COUNT                 places COUNT concurrent requests; prints the number at each server
+ *   request COUNT home SERVER     the same for programs whose home is SERVER */
 #include <stdio.h>
 #include <string.h>
 
@@ -14,7 +14,7 @@
 #include "script.h"
 #include "server_fixture.h"
 
-enum { MAX_CALLS = 256, NAME_MAX_BYTES = 32, HUNDRED = 100 };
+enum { MAX_REQUESTS = 256, NAME_MAX_BYTES = 32, HUNDRED = 100 };
 
 static struct server_table servers;
 static uint64_t server_count;
@@ -59,11 +59,11 @@
     server_table_set_other_loads(&servers, now_ms, &totals);
 }
 
-static void place_calls(uint64_t count, const char *home)
+static void place_requests(uint64_t count, const char *home)
 {
-    struct server *chosen[MAX_CALLS];
+    struct server *chosen[MAX_REQUESTS];
     struct server_criteria criteria = {.service = "service", .zone = "zone", .home = home};
-    count = count < MAX_CALLS ? count : MAX_CALLS;
+    count = count < MAX_REQUESTS ? count : MAX_REQUESTS;
     for (uint64_t i = 0; i < count; i++) {
         chosen[i] = server_table_choose(&servers, now_ms, &criteria);
         server_begin_request(chosen[i], now_ms);
@@ -85,12 +85,12 @@
         reset_servers(script_number(command, 1, 0), script_number(command, 2, 1));
     } else if (script_is(command, 0, "at")) {
         now_ms = 1000000 + script_number(command, 1, 0);
-    } else if (script_is(command, 0, "note") && server != NULL) {
+    } else if (script_is(command, 0, "record") && server != NULL) {
         health_outcome_t outcome = outcome_of(command);
         for (uint64_t i = 0; i < script_number(command, 3, 1); i++) {
             health_record(&server->health, now_ms, outcome);
         }
-    } else if (script_is(command, 0, "others") && server != NULL) {
+    } else if (script_is(command, 0, "other-failures") && server != NULL) {
         set_other_failures(server, script_number(command, 2, 0));
     } else if (script_is(command, 0, "share") && server != NULL) {
         script_print("%u\n", (unsigned)((uint64_t)health_share(&server->health, now_ms) * HUNDRED / HEALTH_ONE));
@@ -98,10 +98,10 @@
         server->logged_failing =
             health_should_log_failing(server->logged_failing, health_share(&server->health, now_ms));
         script_print("%s\n", server->logged_failing ? "failing" : "healthy");
-    } else if (script_is(command, 0, "call")) {
+    } else if (script_is(command, 0, "request")) {
         char home[NAME_MAX_BYTES];
         script_copy(command, 3, home, sizeof(home));
-        place_calls(script_number(command, 1, 0), home[0] == '\0' ? NULL : home);
+        place_requests(script_number(command, 1, 0), home[0] == '\0' ? NULL : home);
     } else {
         script_print("unknown command\n");
     }
--- a/tests/scripted/run_incarnations.c
+++ b/tests/scripted/run_incarnations.c
@@ -18,11 +18,11 @@
 #include "core/server_table.h"
 #include "script.h"
 
-enum { MAX_ENTRIES = 8, NAME_BYTES = 32, MAX_CALLS = 8, TOKENS = 500, SLOTS = 4 };
+enum { MAX_ENTRIES = 8, NAME_BYTES = 32, MAX_REQUESTS = 8, TOKENS = 500, SLOTS = 4 };
 
 static struct server_table servers;
-static struct server *calls[MAX_CALLS];
-static int call_count;
+static struct server *requests[MAX_REQUESTS];
+static int request_count;
 static char home[NAME_BYTES];
 static uint64_t now_ms = 1000;
 
@@ -108,7 +108,7 @@
         script_print("none\n");
         return;
     }
-    script_print("%s, %s%s%s%u calls, %u tokens uncached%s\n", server->address, server->listed ? "" : "not listed, ",
+    script_print("%s, %s%s%s%u requests, %u tokens uncached%s\n", server->address, server->listed ? "" : "not listed, ",
                  server->draining ? "leaving, " : "", server->address_reused ? "address reused, " : "",
                  server->in_flight, prefix_table_uncached_tokens(&server->prefixes, now_ms, &chain),
                  health_share(&server->health, now_ms) > 0 ? ", has failed" : "");
@@ -136,15 +136,15 @@
     script_print(chosen == NULL ? "nowhere\n" : differing == 0 ? "home\n" : "anywhere\n");
 }
 
-static void run_call(const script_command_t *command)
+static void run_request(const script_command_t *command)
 {
     if (script_is(command, 0, "begin")) {
         struct server *server = find(command);
         server_begin_request(server, now_ms);
-        calls[call_count++] = server;
+        requests[request_count++] = server;
     } else {
-        server_end_request(&servers, calls[0]);
-        memmove(calls, calls + 1, (size_t)--call_count * sizeof(calls[0]));
+        server_end_request(&servers, requests[0]);
+        memmove(requests, requests + 1, (size_t)--request_count * sizeof(requests[0]));
     }
 }
 
@@ -172,7 +172,7 @@
     } else if (script_is(command, 0, "stored")) {
         script_copy(command, 1, home, sizeof(home));
     } else {
-        run_call(command);
+        run_request(command);
     }
 }
 
--- a/tests/scripted/run_prefix.c
+++ b/tests/scripted/run_prefix.c
@@ -1,10 +1,10 @@
 /* Placement by cached prompt parts:
  *   servers COUNT SLOTS           COUNT servers in one service and zone, with empty caches
  *   at MS                         sets the time
- *   cost UNSHARED OUTPUT          records a call with these numbers of tokens
- *   call COUNT [ID:TOKENS,...]    places COUNT concurrent calls with these shared parts; prints the number of calls at
- *                                 the only server used, or the highest and the lowest number at a server
- *   missing ID:TOKENS,...         prints the tokens that the first server has not cached
+ *   cost UNSHARED OUTPUT          records a request with these numbers of tokens
+ *   request COUNT [ID:TOKENS,...] places COUNT concurrent requests with these shared parts; prints their number at the
+ *                                 only server used, or the highest and the lowest number at a server
+ *   uncached ID:TOKENS,...        prints the tokens that the first server has not cached
  *   fill COUNT                    sends COUNT prompts with different chains to the first server */
 #include <stdio.h>
 #include <stdlib.h>
@@ -33,7 +33,7 @@
     }
 }
 
-static void call(const script_command_t *command)
+static void place_requests(const script_command_t *command)
 {
     prefix_chain_t chain;
     read_chain(command, 2, &chain);
@@ -76,9 +76,9 @@
         now_ms = 1000 + script_number(command, 1, 0);
     } else if (script_is(command, 0, "cost")) {
         prefix_cost_record(&cost, script_number(command, 1, 0), script_number(command, 2, 0));
-    } else if (script_is(command, 0, "call")) {
-        call(command);
-    } else if (script_is(command, 0, "missing")) {
+    } else if (script_is(command, 0, "request")) {
+        place_requests(command);
+    } else if (script_is(command, 0, "uncached")) {
         read_chain(command, 1, &chain);
         script_print("%u\n", prefix_table_uncached_tokens(&servers.servers->prefixes, now_ms, &chain));
     } else if (script_is(command, 0, "fill")) {
--- a/tests/scripted/run_reach.c
+++ b/tests/scripted/run_reach.c
@@ -1,10 +1,10 @@
 /* Failure detection for a silent server:
- *   heard MS                      data was received; prints `recovered` if the server was unreachable
+ *   received MS                   data was received; prints `recovered` if the server was unreachable
  *   due MS [busy]                 prints whether a probe is due; `busy`: the server has in-flight requests
  *   response MS                   a response started after MS
  *   probe                         a probe starts
- *   connected MS | silent MS      the probe ends at this time; prints the state change
- *   open silent                   the machine does not respond on an open connection; prints the state change
+ *   connected MS | failed MS      the probe ends at this time; prints the state change
+ *   peer-silent                   the machine does not respond on an open connection; prints the state change
  *   dead                          prints whether the server is dead */
 #include "core/reach.h"
 #include "script.h"
@@ -27,7 +27,7 @@
 static void run(const script_command_t *command)
 {
     uint64_t at_ms = script_number(command, 1, 0);
-    if (script_is(command, 0, "heard")) {
+    if (script_is(command, 0, "received")) {
         last_activity_ms = at_ms;
         reach_change_t change = reach_record_received(&reach);
         script_print("%s", change == REACH_UNCHANGED ? "" : change_text(change));
@@ -38,7 +38,7 @@
         reach_record_response(&reach, at_ms);
     } else if (script_is(command, 0, "probe")) {
         reach_record_probe_start(&reach);
-    } else if (script_is(command, 0, "open")) {
+    } else if (script_is(command, 0, "peer-silent")) {
         script_print("%s", change_text(reach_record_peer_silent(&reach)));
     } else if (script_is(command, 0, "dead")) {
         script_print(reach_is_dead(&reach) ? "yes\n" : "no\n");
--- a/tests/scripted/run_slow_start.c
+++ b/tests/scripted/run_slow_start.c
@@ -3,8 +3,8 @@
  *   run SECONDS PER_S [freeze] [disconnect] [elections]
  *                                 the gateways together send PER_S requests per second; at random, gateways freeze or
  *                                 are disconnected from the leader; the leader changes every 700 ms; prints whether
- *                                 the limit held in every second, the percentage of it that was used, and whether
- *                                 the token requests in the leader's busiest second were bounded
+ *                                 the limit held in every second, the percentage of it that was used (in tens), and
+ *                                 whether the token requests in the leader's busiest second were bounded
  *   servers COUNT                 within a second, a gateway asks 100 times for 100 tokens for each of COUNT servers;
  *                                 prints whether the grants for one server are within the limit
  */
@@ -32,8 +32,8 @@
 typedef struct gateway_t {
     quota_leases_t leases;
     QuotaAsk ask;
-    bool asking;
-    uint64_t asked_ms;
+    bool asking;       /* a token request is in flight */
+    uint64_t asked_ms; /* when the last one was sent */
     uint64_t frozen_until_ms;
     uint64_t disconnected_until_ms;
     uint32_t waiting; /* requests without a token; no other server can take them */
@@ -177,12 +177,12 @@
     uint64_t per_s = script_number(command, 2, 1);
     double limit = slow_start_limit(&tolerance, routes->services[0].start_rate_per_s);
     uint64_t end_ms = now_ms + seconds * SECOND_MS;
-    uint64_t wanted = 0;
+    uint64_t due = 0; /* requests to be sent, in thousandths */
     arrival_count = 0;
     ask_count = 0;
     for (; now_ms < end_ms; now_ms += STEP_MS) {
         inject_faults(command);
-        for (wanted += per_s * STEP_MS; wanted >= SECOND_MS; wanted -= SECOND_MS) {
+        for (due += per_s * STEP_MS; due >= SECOND_MS; due -= SECOND_MS) {
             gateway_t *gateway = &gateways[random_below(gateway_count)];
             if (now_ms >= gateway->frozen_until_ms && !request(gateway)) {
                 gateway->waiting++;
--- a/tests/unit/instance_list.c
+++ b/tests/unit/instance_list.c
@@ -154,7 +154,7 @@
     ENTRY("empty text", ""),
     ENTRY("bytes", "\xff\xfe\x00\x01"),
     ENTRY("an unclosed object with the key of the list", "{\"instances\":[\""),
-    ENTRY("bytes found by fuzzing", "w\005:instances\014\377\376V^\014\""),
+    ENTRY("bytes with the key of the list", "w\005:instances\014\377\376V^\014\""),
     ENTRY("plain text", "sorry, no such server"),
     ENTRY("an unclosed object", "{"),
     ENTRY("an unclosed list", "[["),
@@ -453,7 +453,7 @@
 
 int main(void)
 {
-    Suite *suite = suite_create("entries");
+    Suite *suite = suite_create("instance_list");
     TCase *tests = tcase_create("page");
     tcase_add_loop_test(tests, an_invalid_entry_is_skipped, 0, INVALID_COUNT);
     tcase_add_loop_test(tests, two_invalid_entries_are_skipped, 0, INVALID_COUNT);
--- a/tests/unit/overload.c
+++ b/tests/unit/overload.c
@@ -12,8 +12,8 @@
 
 enum {
     SERVERS = 8,
-    GATEWAYS = 12,         /* maximum; each sees the calls of the others with a delay */
-    LOADS_PERIOD_MS = 400, /* interval at which gateways receive the calls of the others */
+    GATEWAYS = 12,         /* maximum; each sees the requests of the others with a delay */
+    LOADS_PERIOD_MS = 400, /* interval at which gateways receive the loads of the others */
     SLOTS = 8,
     CACHE_TOKENS = 43874,           /* per server */
     PREFILL_TOKENS_PER_STEP = 2048, /* maximum */
@@ -21,12 +21,12 @@
     INPUT_TOKENS = 327,             /* new prompt tokens of a turn */
     OUTPUT_TOKENS = 72,             /* of a turn */
     TURNS = 11,
-    PAUSE_MS = 120,
+    PAUSE_MS = 120, /* between turns of a program */
     PROGRAMS = 1200,
-    RUN_MS = 40000
+    RUN_MS = 40000 /* programs arrive until 15 s before the end, so that all can finish */
 };
 
-static const double STEP_MS = 3.06;
+static const double STEP_MS = 3.06; /* time in which a server generates a token for each turn, without prefill */
 static const double PREFILL_TOKENS_PER_MS = 64.8;
 static const double TARGET_FACTOR = 1.4; /* relative to the duration on idle servers */
 
@@ -204,12 +204,12 @@
     }
     loads_due_ms = now_ms + LOADS_PERIOD_MS;
     for (int k = 0; k < SERVERS; k++) {
-        uint32_t calls = 0;
+        uint32_t requests = 0;
         for (int g = 0; g < gateway_count; g++) {
-            calls += by_number[g][k]->in_flight;
+            requests += by_number[g][k]->in_flight;
         }
         for (int g = 0; g < gateway_count; g++) {
-            by_number[g][k]->other_in_flight = calls - by_number[g][k]->in_flight;
+            by_number[g][k]->other_in_flight = requests - by_number[g][k]->in_flight;
             tables[g].loads_until_ms = (uint64_t)loads_due_ms + LOADS_PERIOD_MS;
         }
     }
@@ -320,8 +320,8 @@
 }
 END_TEST
 
-/* Gateways that see each other's calls late overload one server after another. If programs leave their homes for short
- * queues, more prompts are processed again. */
+/* Gateways that see each other's requests late overload one server after another. If programs leave their homes for
+ * short queues, more prompts are processed again. */
 START_TEST(programs_do_not_leave_home_for_a_short_queue)
 {
     test_outcome_t outcome = simulate_gateways(GATEWAYS);
--- a/tests/unit/placement_and_admission.c
+++ b/tests/unit/placement_and_admission.c
@@ -173,7 +173,7 @@
 
 int main(void)
 {
-    Suite *suite = suite_create("decisions");
+    Suite *suite = suite_create("placement_and_admission");
     TCase *tests = tcase_create("pure");
     tcase_add_checked_fixture(tests, setup, NULL);
     tcase_add_test(tests, programs_are_spread_and_placement_is_stable);
--- a/tests/unit/quota.c
+++ b/tests/unit/quota.c
@@ -22,11 +22,11 @@
     quota_leases_t leases;
     uint64_t frozen_until_ms;
     uint64_t partitioned_until_ms;
-    bool asking;
-    uint64_t asked_ms;
+    bool asking;       /* a token request is in flight */
+    uint64_t asked_ms; /* when it was sent */
     QuotaAsk ask;
-    uint32_t asked_for;
-    uint32_t waiting;
+    uint32_t asked_for; /* waiting requests that it covers */
+    uint32_t waiting;   /* requests that the next one will cover */
 } test_gateway_t;
 
 static test_gateway_t gateways[GATEWAYS];
@@ -200,7 +200,7 @@
         }
         if (now_ms >= next_leader_ms) {
             quota_table_clear(&table, now_ms);
-            next_leader_ms = now_ms + WINDOW_MS / 2 + random_below(_i < 20 ? 100 : 5000);
+            next_leader_ms = now_ms + WINDOW_MS / 2 + random_below(_i < 20 ? 100 : 5000); /* at most two per window */
         }
         step(tenant->rate_per_s * (2 + random_below(6)));
     }
--- a/tests/unit/routing.c
+++ b/tests/unit/routing.c
@@ -146,7 +146,7 @@
 }
 END_TEST
 
-START_TEST(calls_spread_over_idle_servers)
+START_TEST(requests_spread_over_idle_servers)
 {
     ServerRecord list[] = {record("a", false), record("b", false), record("c", false)};
     struct server_criteria criteria = {.service = "s", .zone = "z"};
@@ -160,14 +160,14 @@
 }
 END_TEST
 
-START_TEST(an_object_goes_to_one_server_until_it_is_busy)
+START_TEST(an_affinity_key_goes_to_one_server_until_it_is_busy)
 {
     ServerRecord list[] = {record("a", false), record("b", false), record("c", false)};
     struct server_criteria criteria = {.service = "s", .zone = "z"};
     int first[3] = {0};
     set_servers(list, 3);
-    for (uint64_t object = 1; object <= 60; object++) {
-        criteria.affinity_key = object * 0x9e3779b97f4a7c15ULL;
+    for (uint64_t key = 1; key <= 60; key++) {
+        criteria.affinity_key = key * 0x9e3779b97f4a7c15ULL;
         struct server *server = server_table_choose(&servers, 1, &criteria);
         ck_assert_ptr_eq(server_table_choose(&servers, 1, &criteria), server);
         first[server->id[0] - 'a']++;
@@ -215,8 +215,8 @@
     return strcmp(address, "127.0.0.1:1") == 0;
 }
 
-/* `preferred` is chosen while it has one call in flight and the other none, but not with three. */
-static void expect_choices_after_calls(const char *preferred, const char *other, const struct server_criteria *criteria)
+/* `preferred` is chosen while it has one request in flight and the other none, but not with three. */
+static void expect_choices_by_load(const char *preferred, const char *other, const struct server_criteria *criteria)
 {
     struct server *server = NULL;
     HASH_FIND_STR(servers.servers, preferred, server);
@@ -227,24 +227,24 @@
     ck_assert_str_eq(server_table_choose(&servers, 1, criteria)->id, other);
 }
 
-START_TEST(an_idle_connection_is_worth_some_calls)
+START_TEST(an_idle_connection_is_worth_some_requests)
 {
     ServerRecord list[] = {record("a", false), record("b", false)};
     struct server_criteria criteria = {
         .service = "s", .zone = "z", .has_idle_connection = has_idle_connection_to_first};
     list[1].address = (char *)"127.0.0.1:2";
     set_servers(list, 2);
-    expect_choices_after_calls("a", "b", &criteria);
+    expect_choices_by_load("a", "b", &criteria);
 }
 END_TEST
 
-START_TEST(the_local_zone_is_worth_some_calls)
+START_TEST(the_local_zone_is_worth_some_requests)
 {
     ServerRecord list[] = {record("near", false), record("far", false)};
     struct server_criteria criteria = {.service = "s", .zone = "z"};
     list[1].zone = (char *)"other";
     set_servers(list, 2);
-    expect_choices_after_calls("near", "far", &criteria);
+    expect_choices_by_load("near", "far", &criteria);
 }
 END_TEST
 
@@ -310,7 +310,7 @@
 }
 END_TEST
 
-START_TEST(an_unlisted_server_is_kept_until_its_calls_end)
+START_TEST(an_unlisted_server_is_kept_until_its_requests_end)
 {
     ServerRecord list[] = {record("a", false)};
     struct server_criteria criteria = {.service = "s", .zone = "z"};
@@ -461,15 +461,15 @@
     TCase *placement = tcase_create("servers");
     tcase_add_checked_fixture(placement, servers_setup, servers_teardown);
     tcase_add_test(placement, a_draining_server_never_gets_requests_again);
-    tcase_add_test(placement, calls_spread_over_idle_servers);
-    tcase_add_test(placement, an_object_goes_to_one_server_until_it_is_busy);
+    tcase_add_test(placement, requests_spread_over_idle_servers);
+    tcase_add_test(placement, an_affinity_key_goes_to_one_server_until_it_is_busy);
     tcase_add_test(placement, a_program_stays_at_its_home_until_it_is_busy);
-    tcase_add_test(placement, an_idle_connection_is_worth_some_calls);
-    tcase_add_test(placement, the_local_zone_is_worth_some_calls);
+    tcase_add_test(placement, an_idle_connection_is_worth_some_requests);
+    tcase_add_test(placement, the_local_zone_is_worth_some_requests);
     tcase_add_test(placement, loads_of_other_gateways_count_until_they_expire);
     tcase_add_test(placement, an_unreachable_server_is_skipped);
     tcase_add_test(placement, if_none_is_reachable_an_unreachable_one_is_chosen);
-    tcase_add_test(placement, an_unlisted_server_is_kept_until_its_calls_end);
+    tcase_add_test(placement, an_unlisted_server_is_kept_until_its_requests_end);
     suite_add_tcase(suite, placement);
     TCase *watches = tcase_create("watches");
     tcase_add_checked_fixture(watches, watch_setup, watch_teardown);
--- a/tests/unit/server_list.c
+++ b/tests/unit/server_list.c
@@ -535,7 +535,7 @@
 
 int main(void)
 {
-    Suite *suite = suite_create("watchers");
+    Suite *suite = suite_create("server_list");
     TCase *tests = tcase_create("servers");
     tcase_set_timeout(tests, 60);
     tcase_add_checked_fixture(tests, setup, teardown);
