--- a/src/core/placement.h
+++ b/src/core/placement.h
@@ -27,7 +27,7 @@
     PLACEMENT_MODE_AFFINITY,
     PLACEMENT_MODE_ROUND_ROBIN,
     PLACEMENT_MODE_LEAST_LOADED,
-    PLACEMENT_MODE_STICKY
+    PLACEMENT_MODE_STICKY /**< First by rendezvous hashing, regardless of load and caches. */
 };
 
 struct placement_candidate {
--- a/src/core/server_table.h
+++ b/src/core/server_table.h
@@ -11,8 +11,8 @@
  *
  * Start times do not order incarnations, because clocks may be set back, and a
  * list may be older than the previous one. A record of an incarnation that has
- * already ended here is therefore deferred as stale, and applied only if it
- * persists for SERVER_DEFER_MS.
+ * already ended here is therefore deferred as stale while another one is current,
+ * and applied only if it persists for SERVER_DEFER_MS.
  *
  * A server that is leaving or whose zone is drained (zone_set.h) gets no new
  * requests under any circumstances; in a drained zone it completes the ones it
--- a/src/core/turn_store.h
+++ b/src/core/turn_store.h
@@ -84,7 +84,10 @@
 /** Returns false if the parent is not stored; true without effect if the turn is stored already. */
 bool turn_store_add(struct turn_store *store, uint64_t now_ms, const struct turn_content *content);
 
-/** Drops expired turns that have no unexpired descendants. */
+/**
+ * Drops expired turns that have no unexpired descendants, up to the first unexpired turn of the LRU list. A turn may
+ * therefore be kept longer than its retention.
+ */
 void turn_store_expire(struct turn_store *store, uint64_t now_ms);
 
 /** Drops least recently used turns, children before parents, until texts and index take at most `bytes`. */
