--- a/src/core/control_client.c
+++ b/src/core/control_client.c
@@ -7,7 +7,8 @@
 
 enum { CONTROL_INTERNAL_TIMEOUT_MS = 3000 };
 
-/* Spreads request ids by process start, so that a late reply to an earlier process matches no request of this one. */
+/* 2^64 divided by the golden ratio. Spreads request ids by process start, so that a late reply to an earlier process
+ * matches no request of this one. */
 static const uint64_t CONTROL_ID_MULTIPLIER = 0x9e3779b97f4a7c15U;
 
 void control_client_init(struct control_client *client, const struct control_client_config *config,
@@ -20,7 +21,7 @@
         client->config.heartbeat_ms = CONTROL_HEARTBEAT_MS;
     }
     client->rotation = config->node;
-    client->next_id = config->boot_id * CONTROL_ID_MULTIPLIER;
+    client->last_id = config->boot_id * CONTROL_ID_MULTIPLIER;
     config_store_init(&client->store);
     client->store.revision = 0;
 }
@@ -107,7 +108,7 @@
                                                       struct view body, uint64_t deadline_ms, void *token)
 {
     struct control_request *request = memory_new(sizeof(*request));
-    request->id = ++client->next_id;
+    request->id = ++client->last_id;
     request->group = group;
     request->kind = kind;
     request->body = (uint8_t *)memory_copy(body.data, body.length);
--- a/src/core/control_client.h
+++ b/src/core/control_client.h
@@ -72,7 +72,7 @@
     struct control_client_config config;
     struct control_client_io io;
     struct control_request *requests;               /**< Pending, by id. */
-    uint64_t next_id;                               /**< Last request id assigned. */
+    uint64_t last_id;                               /**< Last request id assigned. */
     uint32_t leaders[REPLICA_MAX_GROUPS];           /**< Presumed leader of each group, or RAFT_NO_NODE. */
     uint64_t leader_contact_ms[REPLICA_MAX_GROUPS]; /**< Time of the last frame from that leader. */
     uint32_t rotation;                              /**< Round-robin position for when no leader is known. */
--- a/src/core/raft.h
+++ b/src/core/raft.h
@@ -30,7 +30,7 @@
     RAFT_NAME_MAX = 48,                /**< Bytes of a member's machine name, NUL included. */
     RAFT_ZONE_MAX = 32,                /**< Bytes of a member's zone, NUL included. */
     RAFT_MAX_INFLIGHT_ENTRIES = 512,   /**< Unacknowledged, per follower. */
-    RAFT_MAX_INFLIGHT_BYTES = 1 << 20, /**< Unacknowledged, per follower. */
+    RAFT_MAX_INFLIGHT_BYTES = 1 << 20, /**< Unacknowledged entry payload at which sending stops, per follower. */
     RAFT_MAX_BATCH_BYTES = 256 << 10,  /**< Entry payload in one append message. */
     RAFT_ENTRY_OVERHEAD_BYTES = 64,    /**< Estimated memory of an entry besides its payload. */
     RAFT_SNAPSHOT_CHUNK_BYTES = 256 << 10,
@@ -109,9 +109,10 @@
      */
     bool (*read_snapshot)(void *context, uint32_t group, uint64_t index, uint64_t *offset, struct buffer *out);
     /**
-     * Receives the next bytes of a snapshot from the leader, in order. With `last`, durably replaces the state, and
-     * deletes the log entries that the snapshot covers, or all of them unless raft_log_matches_snapshot(). False:
-     * refused; the leader must send the snapshot again from the start.
+     * Receives the next bytes of a snapshot from the leader, in order. `first` starts a new transfer and discards an
+     * unfinished one. With `last`, durably replaces the state, and deletes the log entries that the snapshot covers, or
+     * all of them unless raft_log_matches_snapshot(). False: refused; the leader must send the snapshot again from the
+     * start.
      */
     bool (*receive_snapshot)(void *context, uint32_t group, const struct raft_snapshot *snapshot, struct view bytes,
                              bool first, bool last);
--- a/src/core/replica.h
+++ b/src/core/replica.h
@@ -16,13 +16,14 @@
 
 enum {
     REPLICA_MAX_GROUPS = 64,
-    REPLICA_SNAPSHOT_ENTRIES = 8192,    /**< Entries applied since a group's last snapshot that trigger the next. */
-    REPLICA_LOG_BYTES = 64 << 20,       /**< Log in memory of all groups; each has an equal share. */
-    REPLICA_MIN_LOG_BYTES = 1 << 20,    /**< Minimum share of a group. */
-    REPLICA_TRAILING_ENTRIES = 1024,    /**< Log entries covered by a snapshot but kept for slow followers. */
-    REPLICA_MAINTENANCE_MS = 200,       /**< Period of lease, expiry and membership checks. */
-    REPLICA_LEADER_PLACEMENT_MS = 2000, /**< Period of leader placement checks. */
-    REPLICA_SYNC_RETRY_MS = 50,
+    REPLICA_SNAPSHOT_ENTRIES = 8192,       /**< Entries applied since a group's last snapshot that trigger the next. */
+    REPLICA_LOG_BYTES = 64 << 20,          /**< Log in memory of all groups; a group that reaches its equal share is due
+                                              for a snapshot. */
+    REPLICA_MIN_LOG_BYTES = 1 << 20,       /**< Minimum share of a group. */
+    REPLICA_TRAILING_ENTRIES = 1024,       /**< Log entries covered by a snapshot but kept for slow followers. */
+    REPLICA_MAINTENANCE_MS = 200,          /**< Period of lease, expiry and membership checks. */
+    REPLICA_LEADER_PLACEMENT_MS = 2000,    /**< Period of leader placement checks. */
+    REPLICA_SYNC_RETRY_MS = 50,            /**< Delay after REPLICA_SYNC_BLOCKED. */
     REPLICA_EXPIRE_BATCH = 256,            /**< Maximum number of programs expired by one log entry. */
     REPLICA_KEPT_BUFFER_BYTES = 256 << 10, /**< Capacity to which `pending_frames` shrinks once sent. */
     REPLICA_MAX_JOINS = 128 /**< Join requests kept, even if the group has no room; the oldest is replaced. */
@@ -120,13 +121,13 @@
 struct replica_counters {
     uint64_t proposals; /**< Entries proposed here. */
     uint64_t applied;
-    uint64_t syncs; /**< Syncs that covered at least one write. */
-    uint64_t synced_entries;
-    uint64_t synced_bytes; /**< Payload of log entries only. */
-    uint64_t snapshots;    /**< Snapshots written of this replica's state. */
-    uint64_t installs;     /**< Snapshots received from a leader and installed. */
-    uint64_t role_changes; /**< Role, term or leader changes of any group. */
-    uint64_t refused;      /**< Proposals refused because of a memory limit. */
+    uint64_t syncs;          /**< Syncs that covered at least one write. */
+    uint64_t synced_entries; /**< Log entries written, synced or not. */
+    uint64_t synced_bytes;   /**< Payload of these entries. */
+    uint64_t snapshots;      /**< Snapshots written of this replica's state. */
+    uint64_t installs;       /**< Snapshots received from a leader and installed. */
+    uint64_t role_changes;   /**< Role, term or leader changes of any group. */
+    uint64_t refused;        /**< Proposals refused because of a memory limit. */
 };
 
 struct replica {
--- a/src/core/replica_requests.c
+++ b/src/core/replica_requests.c
@@ -5,7 +5,7 @@
 #include "base/message.h"
 #include "core/replica_internal.h"
 
-enum { REPLICA_RELEASE_BATCH = 64 };
+enum { REPLICA_RELEASE_BATCH = 64 /* maximum number of pending releases in a reply */ };
 
 bool replica_propose(struct replica *replica, uint32_t group, struct view entry, const struct replica_waiter *waiter)
 {
--- a/src/core/replica_snapshot.c
+++ b/src/core/replica_snapshot.c
@@ -147,9 +147,9 @@
     return max_bytes == 0 ? SIZE_MAX : (replica->config.log_bytes + max_bytes) / 2;
 }
 
-/* Whether a due snapshot must wait because it would replace one that is being sent or received. It does not wait once
- * the log has grown halfway from its share to replica_turn_log_limit(), or to 1.5 shares if that is not set or is below
- * the share. */
+/* Whether a due snapshot must wait because it would replace one that is being sent or received. So that no turn is
+ * refused meanwhile, it does not wait once the log has grown halfway from its share to replica_turn_log_limit(), or to
+ * 1.5 shares if that is not set or is below the share. */
 static bool replica_snapshot_is_deferred(const struct replica *replica, uint32_t group)
 {
     const struct replica_group *state = &replica->groups[group];
--- a/src/core/site_state.c
+++ b/src/core/site_state.c
@@ -33,7 +33,7 @@
     result->revision = state->document.version;
 }
 
-/* The result borrows the name of the back end that caches the program's prompt. */
+/* The result borrows the name of the server that caches the program's prompt. */
 static void site_begin_turn(struct site_state *state, const TurnBegin *begin, EntryResult *result)
 {
     if (!budget_table_reserve(&state->budgets, state->time_ms, begin)) {
--- a/src/core/site_state.h
+++ b/src/core/site_state.h
@@ -34,7 +34,7 @@
     struct budget_table budgets;
     char **retiring_machines; /**< Names of machines being retired, owned. */
     uint32_t retiring_count;
-    zone_set_t drained; /**< Zones whose back ends get no new requests. */
+    zone_set_t drained; /**< Zones whose servers get no new requests. */
 };
 
 /** Initializes an empty state. The texts of turns are stored in `history`, or in memory if it is all zero. */
--- a/src/core/watch.h
+++ b/src/core/watch.h
@@ -14,9 +14,10 @@
  * Replicas outside the group therefore act as relays: they watch a member and
  * forward its updates. A member with more than `refer_above` watchers refers each
  * of them to one of the relays that watch it, chosen by rendezvous hashing, and
- * sends it no full lists until WATCH_REFERRAL_TIMEOUT_MS after the first referral.
- * A watcher whose relay does not reply returns to a member. A relay is as fresh as
- * its last fresh reply from a member, and reports the age of that reply.
+ * sends it no full lists or large changes of the list of servers until
+ * WATCH_REFERRAL_TIMEOUT_MS after the first referral. A watcher whose relay does
+ * not reply returns to a member. A relay is as fresh as its last fresh reply from
+ * a member, and reports the age of that reply.
  *
  * Watchers receive the changes to the list of servers (server_list.h). Full lists,
  * and changes of more than WATCH_UNPACED_MAX_BYTES, are paced, so that many
--- a/src/sim/sim_network.c
+++ b/src/sim/sim_network.c
@@ -4,7 +4,7 @@
 
 #include "sim/sim.h"
 
-enum { SIM_DELAY_MS = 4, SIM_SLOW_DELAY_MS = 1500, SIM_MAX_IN_FLIGHT = 1 << 16 };
+enum { SIM_MAX_DELAY_MS = 4, SIM_MAX_SLOW_DELAY_MS = 1500, SIM_MAX_IN_FLIGHT = 1 << 16 };
 
 static bool sim_message_before(const struct sim_message *a, const struct sim_message *b)
 {
@@ -52,9 +52,9 @@
 
 static void sim_network_schedule(struct sim *sim, uint32_t from, uint32_t to, struct view frame)
 {
-    uint64_t delay_ms = from == to ? 0 : 1 + sim_random(sim, SIM_DELAY_MS);
+    uint64_t delay_ms = from == to ? 0 : 1 + sim_random(sim, SIM_MAX_DELAY_MS);
     if (from != to && sim_chance(sim, sim->slow_percent)) {
-        delay_ms += sim_random(sim, SIM_SLOW_DELAY_MS);
+        delay_ms += sim_random(sim, SIM_MAX_SLOW_DELAY_MS);
     }
     struct sim_message message = {
         .due_ms = sim->now_ms + delay_ms,
--- a/src/store/history_store.h
+++ b/src/store/history_store.h
@@ -19,7 +19,7 @@
 struct history_segment {
     uint32_t number; /**< Part of the file name. */
     int fd;
-    uint64_t size;       /**< Without buffered texts. */
+    uint64_t size;       /**< Bytes in the file, without buffered texts. */
     uint64_t live_bytes; /**< Texts in use, including buffered ones. */
     bool dirty;          /**< Written to since its last sync. */
 };
--- a/src/store/log_store.c
+++ b/src/store/log_store.c
@@ -22,7 +22,7 @@
 struct log_record {
     uint32_t magic;    /* LOG_RECORD_MAGIC */
     uint32_t length;   /* of the payload */
-    uint64_t checksum; /* XXH64 of the rest of the header and the payload, seeded with the length */
+    uint64_t checksum; /* XXH64 of the payload, seeded with that of the rest of the header, seeded with `length` */
     uint32_t kind;     /* enum log_record_kind */
     uint32_t group;
     uint64_t index;
--- a/tests/unit/control_client.c
+++ b/tests/unit/control_client.c
@@ -55,7 +55,7 @@
     client->config.requests_only = true;
 }
 
-/* Otherwise a restarted gateway could run a call whose start is not committed. */
+/* Otherwise a restarted gateway could run a call whose begin is not committed. */
 START_TEST(reply_to_previous_process_is_ignored)
 {
     struct control_client client;
--- a/tests/unit/log_store.c
+++ b/tests/unit/log_store.c
@@ -152,18 +152,19 @@
     append(0, 1, 1);
     ck_assert(log_store_sync(&store));
     ck_assert_int_eq(stat(path, &before), 0);
-    for (int whole = 0; whole < RECORDS; whole++) {
+    for (int intact_records = 0; intact_records < RECORDS; intact_records++) {
         for (int i = 0; i < RECORDS; i++) {
             append(0, 2 + (uint64_t)i, 1);
         }
         ck_assert(log_store_sync(&store));
         ck_assert_int_eq(stat(path, &after), 0);
-        off_t record = (after.st_size - before.st_size) / RECORDS;
+        off_t record_bytes = (after.st_size - before.st_size) / RECORDS;
         int fd = open(path, O_RDWR);
-        ck_assert_int_eq(pwrite(fd, zeros, sizeof(zeros), before.st_size + whole * record), sizeof(zeros));
+        ck_assert_int_eq(pwrite(fd, zeros, sizeof(zeros), before.st_size + intact_records * record_bytes),
+                         sizeof(zeros));
         close(fd);
         reopen();
-        ck_assert_uint_eq(replayed[0].last_index, 1 + (uint64_t)whole);
+        ck_assert_uint_eq(replayed[0].last_index, 1 + (uint64_t)intact_records);
         ck_assert_int_eq(truncate(path, before.st_size), 0);
         reopen();
         ck_assert_uint_eq(replayed[0].last_index, 1);
