--- a/src/core/raft.h
+++ b/src/core/raft.h
@@ -193,7 +193,8 @@
     uint64_t quorum_checked_ms;                      /**< Leader: start of the current check-quorum window. */
     uint64_t last_tick_ms;                           /**< 0: none yet. */
     uint64_t stall_grace_ms;                         /**< Last time silent peers were tolerated because this process
-                                                          stalled; 0: not since the election timer was reset. */
+                                                          stalled; 0: not since the election timer was reset or this
+                                                          replica became the leader. */
     uint64_t campaigns;                              /**< Campaigns started; input of the jitter. */
     bool votes[RAFT_MAX_MEMBERS];                    /**< Candidate: votes granted, by member position. */
     struct raft_progress progress[RAFT_MAX_MEMBERS]; /**< Leader: by member position. */
