--- a/src/proxy/dialect.h
+++ b/src/proxy/dialect.h
@@ -17,19 +17,19 @@
 #include "core/server_entries.h"
 
 enum dialect_header {
-    DIALECT_REQUEST_ID,    /**< Differs for each retry of the client; servers echo it. */
+    DIALECT_REQUEST_ID,    /**< Differs for each retry of the caller; servers echo it. */
     DIALECT_DEADLINE_MS,   /**< Time for which the sender waits for the response, in ms. */
-    DIALECT_EXPECT_SERVER, /**< Server incarnation that must run the request. */
-    DIALECT_SERVER_ID,     /**< Server incarnation that responded. */
+    DIALECT_EXPECT_SERVER, /**< Id of the server that must run the request. */
+    DIALECT_SERVER_ID,     /**< Id of the server that responded. */
     DIALECT_SIGNATURE,     /**< Marks a response as made by a server. */
     DIALECT_NOT_RUN,       /**< Marks the response to a request that the server did not run. */
     DIALECT_PROGRAM,       /**< Id of a program: requests, called turns, with a common deadline and token budget. */
-    DIALECT_SESSION,       /**< A sequence of turns within a program. */
+    DIALECT_SESSION,       /**< Id of a sequence of turns within a program. */
     DIALECT_PROGRAM_REMAINING_MS, /**< Remaining time of the program, in ms. */
     DIALECT_TOKEN_BUDGET,         /**< Maximum generated tokens of the program. */
     DIALECT_TOKEN_USAGE,          /**< Prompt tokens and maximum generated tokens, separated by a comma. */
     DIALECT_PROMPT_PARTS,         /**< Ids and token counts; all but the last part are shared with other prompts. */
-    DIALECT_AFFINITY_KEY,         /**< Affinity key; may also be a cookie of this name. */
+    DIALECT_AFFINITY_KEY,         /**< Requests with equal keys prefer one server; may also be a cookie of this name. */
     DIALECT_PARENT_TURN,          /**< Turn that this one continues. */
     DIALECT_PRIORITY,             /**< Priority at a server, set by the daemon. */
     DIALECT_RETRY_AFTER,          /**< In seconds. */
@@ -53,7 +53,7 @@
 
 struct dialect {
     const char *headers[DIALECT_HEADER_COUNT];
-    const char *const *system_headers; /**< Headers that callers may not set (caller_headers.h); ends with NULL. */
+    const char *const *system_headers; /**< Not forwarded from callers (caller_headers.h); ends with NULL. */
     const char *ready_path;
     /** The caller releases the result. NULL: `findings` has all errors. */
     struct route_table *(*read_configuration)(struct view text, struct findings *findings);
--- a/src/proxy/forward.c
+++ b/src/proxy/forward.c
@@ -372,7 +372,7 @@
     uv_timer_start(&forward->timer, forward_on_timer, forward_time_left_ms(forward), 0);
 }
 
-void forward_resume_waiting(struct frontend *frontend)
+void forward_route_waiting(struct frontend *frontend)
 {
     struct forward *next = NULL;
     for (struct forward *forward = frontend->forwards; forward != NULL; forward = next) {
--- a/src/proxy/forward.h
+++ b/src/proxy/forward.h
@@ -20,9 +20,9 @@
 #include "proxy/frontend.h"
 
 enum {
-    FORWARD_MAX_PARALLEL = 2,             /**< Maximum concurrent attempts of one request. */
-    FORWARD_HEDGE_DELAY_MS = 150,         /**< Minimum time without a response before a second server is tried. */
-    FORWARD_MAX_SENDS = 8,                /**< Maximum number of attempts, those that did not run included. */
+    FORWARD_MAX_PARALLEL = 2,     /**< Maximum concurrent attempts of one request. */
+    FORWARD_HEDGE_DELAY_MS = 150, /**< Minimum time without a response before a second server is tried. */
+    FORWARD_MAX_SENDS = 8,        /**< No retry after this many attempts unless only earlier ones may have run. */
     FORWARD_MAX_RESPONSE_BYTES = 8 << 20, /**< Maximum body of a response that is not streamed. */
     FORWARD_STATE_MAX_PERCENT = 40,       /**< Share of the time left that the state replicas may use. */
     FORWARD_STATE_TIMEOUT_MS = 1500,      /**< Upper limit of that time, for one reservation or fetch. */
@@ -63,7 +63,7 @@
     uint64_t start_token_expires_ms; /**< Expiry of the token for a server that has just started; 0: no token. */
     uint64_t last_received_ms;       /**< Loop time of the last bytes received; 0: none. */
     uint64_t restart_seen_ms;        /**< Loop time at which a restart of the server was noticed; 0: none. */
-    bool unanswered_reported;        /**< Reported once by forward_report_unanswered(). */
+    bool unanswered_recorded;        /**< By forward_record_unanswered(), once. */
     int status;                      /**< 0: no response yet. */
     bool refused;                    /**< The response says that the server did not run the request. */
     bool streaming;                  /**< Response relayed event by event. */
@@ -126,10 +126,10 @@
 void forward_start(struct frontend *frontend, struct http_call *call);
 
 /** Routes the requests in FORWARD_WAITING. */
-void forward_resume_waiting(struct frontend *frontend);
+void forward_route_waiting(struct frontend *frontend);
 
-/** forward_attempt.c: reports, once for each attempt, servers that have not responded for too long. */
-void forward_report_unanswered(struct forward *forward);
+/** forward_attempt.c: records, once for each attempt, servers that have not responded for too long. */
+void forward_record_unanswered(struct forward *forward);
 
 /** Call when the caller has read all of the response so far. */
 void forward_caller_drained(struct forward *forward);
@@ -198,7 +198,7 @@
 /** forward_tenant.c: program id at the state replicas, unique among tenants; the caller frees it. */
 char *forward_tenant_program(const struct forward *forward, const char *program);
 
-/** forward.c: places the request once no quota token, reservation or conversation is outstanding. */
+/** forward.c: places the request once no rate limit token, reservation or conversation is outstanding. */
 void forward_continue(struct forward *forward);
 
 /** forward_quota.c: takes a token, unless the request may be the first of its program: only its reservation shows
--- a/src/proxy/forward_attempt.c
+++ b/src/proxy/forward_attempt.c
@@ -320,7 +320,7 @@
     forward_place(forward);
 }
 
-/* Not counted if this process was suspended since the attempt was sent: the server may not be at fault. */
+/* Not counted if this process has stalled since the attempt was sent: the server may not be at fault. */
 static void forward_record_failure(const struct forward_attempt *attempt)
 {
     const struct node *node = attempt->forward->frontend->node;
@@ -361,17 +361,17 @@
     return scaled_target_ms > HEALTH_UNANSWERED_MS ? scaled_target_ms : HEALTH_UNANSWERED_MS;
 }
 
-void forward_report_unanswered(struct forward *forward)
+void forward_record_unanswered(struct forward *forward)
 {
     const struct node *node = forward->frontend->node;
     uint64_t now_ms = node_now(node);
     for (int i = 0; i < FORWARD_MAX_PARALLEL; i++) {
         struct forward_attempt *attempt = &forward->attempts[i];
         uint64_t since_ms = attempt->sent_ms > node->stall_end_ms ? attempt->sent_ms : node->stall_end_ms;
-        bool unanswered = attempt->exchange != NULL && attempt->status == 0 && !attempt->unanswered_reported &&
+        bool unanswered = attempt->exchange != NULL && attempt->status == 0 && !attempt->unanswered_recorded &&
                           now_ms >= since_ms + forward_unanswered_after_ms(forward);
         if (unanswered) {
-            attempt->unanswered_reported = true;
+            attempt->unanswered_recorded = true;
             server_record_unanswered(&forward->frontend->servers, attempt->server, now_ms);
         }
     }
--- a/src/proxy/forward_response.c
+++ b/src/proxy/forward_response.c
@@ -105,7 +105,7 @@
 
 /* ---- Body -------------------------------------------------------------------------------- */
 
-/* Whether the event's id, if it has one, is greater than the last one. */
+/* Whether the event's id, if it has one, is greater than the last one: ids of one run only increase. */
 static bool forward_event_is_next(struct forward *forward, const struct event_stream_event *event)
 {
     struct forward_stream *stream = &forward->stream;
--- a/src/proxy/forward_slow_start.c
+++ b/src/proxy/forward_slow_start.c
@@ -90,7 +90,7 @@
     free(request);
 }
 
-static uint64_t forward_start_request_interval(const struct frontend *frontend)
+static uint64_t forward_start_request_interval_ms(const struct frontend *frontend)
 {
     return frontend->report_interval_ms > SLOW_START_REQUEST_INTERVAL_MS ? frontend->report_interval_ms
                                                                          : SLOW_START_REQUEST_INTERVAL_MS;
@@ -101,7 +101,7 @@
     struct node *node = frontend->node;
     uint64_t now_ms = node_now(node);
     if (!frontend->start_leases.due || frontend->start_request_pending ||
-        now_ms < frontend->start_requested_ms + forward_start_request_interval(frontend)) {
+        now_ms < frontend->start_requested_ms + forward_start_request_interval_ms(frontend)) {
         return;
     }
     struct forward_start_request *request = memory_new(sizeof(*request));
--- a/src/proxy/frontend.c
+++ b/src/proxy/frontend.c
@@ -86,10 +86,10 @@
     quota_leases_close(&frontend->start_leases);
 }
 
-void frontend_resume(struct frontend *frontend)
+void frontend_route_waiting(struct frontend *frontend)
 {
     if (frontend->waiting > 0 && frontend_is_configured(frontend)) {
-        forward_resume_waiting(frontend);
+        forward_route_waiting(frontend);
     }
 }
 
@@ -105,7 +105,7 @@
     frontend->servers_known = true;
     frontend->servers_change = 0;
     message_free(ServerList_fields, &list);
-    frontend_resume(frontend);
+    frontend_route_waiting(frontend);
 }
 
 /* False: the changes since the last applied one are not known, and the whole list is needed. */
@@ -181,7 +181,7 @@
 
 /* The interval set by the leader, but at least LOAD_MIN_REPORT_MS, and at most PRESENCE_REPORT_MS: a gateway without
  * reports counts as silent. An idle gateway reports every PRESENCE_REPORT_MS. */
-static uint32_t frontend_report_interval(const struct frontend *frontend)
+static uint32_t frontend_report_interval_ms(const struct frontend *frontend)
 {
     bool idle = frontend->active == 0 && !frontend->last_report_had_loads;
     uint32_t interval_ms =
@@ -194,7 +194,8 @@
 {
     struct node *node = frontend->node;
     uint32_t leader = node->host != NULL ? state_host_leader(node->host) : node->watch.leader;
-    if (node_now(node) < frontend->loads_reported_ms + frontend_report_interval(frontend) || leader == RAFT_NO_NODE) {
+    if (node_now(node) < frontend->loads_reported_ms + frontend_report_interval_ms(frontend) ||
+        leader == RAFT_NO_NODE) {
         return;
     }
     Frame frame = {0};
@@ -252,7 +253,7 @@
 static void frontend_review_servers(struct frontend *frontend)
 {
     for (struct forward *forward = frontend->forwards; forward != NULL; forward = forward->next) {
-        forward_report_unanswered(forward);
+        forward_record_unanswered(forward);
     }
     forward_end_idle_after_restart(frontend);
     quota_leases_remove_idle(&frontend->start_leases, node_now(frontend->node));
--- a/src/proxy/frontend.h
+++ b/src/proxy/frontend.h
@@ -110,7 +110,7 @@
 void frontend_configuration_close(struct frontend *frontend);
 
 /** Routes the requests in FORWARD_WAITING if the configuration and the servers are known. */
-void frontend_resume(struct frontend *frontend);
+void frontend_route_waiting(struct frontend *frontend);
 
 /** Applies node->state.servers. */
 void frontend_apply_servers(struct frontend *frontend);
--- a/src/proxy/frontend_configuration.c
+++ b/src/proxy/frontend_configuration.c
@@ -17,7 +17,7 @@
     FRONTEND_DEFAULT_BODY_BYTES = 4 << 20,
     FRONTEND_DEFAULT_HEADER_TIMEOUT_MS = 5000,
     FRONTEND_DEFAULT_IDLE_TIMEOUT_MS = 15000,
-    FRONTEND_IDLE_MARGIN_MS = 3000,    /* added, since clients reuse idle connections up to the configured limit */
+    FRONTEND_IDLE_MARGIN_MS = 3000,    /* added, since callers reuse idle connections up to the configured limit */
     FRONTEND_CONFIRM_TIMEOUT_MS = 900, /* of a confirmation request */
     FRONTEND_CONFIRM_RETRY_MS = 100    /* delay before the next request */
 };
@@ -60,7 +60,7 @@
         route_table_release(frontend->table);
         frontend->table = table;
         frontend_apply_limits(frontend);
-        frontend_resume(frontend);
+        frontend_route_waiting(frontend);
     } else {
         route_table_release(table);
     }
--- a/src/proxy/frontend_memory.h
+++ b/src/proxy/frontend_memory.h
@@ -2,8 +2,8 @@
  * @file frontend_memory.h
  * Memory limits for a gateway's requests and cached turns
  * (core/memory_budget.h). The exact sum is taken every FRONTEND_REVIEW_MS and
- * before a request is refused; in between, ended requests still count. Bodies
- * being received are limited separately, by http_limits.max_receiving_bytes.
+ * before the first refusal; in between, ended requests still count. Bodies being
+ * received are limited separately, by http_limits.max_receiving_bytes.
  */
 #ifndef BANKBANK_PROXY_FRONTEND_MEMORY_H
 #define BANKBANK_PROXY_FRONTEND_MEMORY_H
--- a/src/proxy/machine_reader.c
+++ b/src/proxy/machine_reader.c
@@ -101,7 +101,7 @@
 {
     struct machine_reader *reader = owner;
     struct buffer next_page = {0};
-    reader->call = NULL;
+    reader->exchange = NULL;
     bool valid =
         result == UPSTREAM_DONE && reader->status == MACHINE_READER_OK && machine_append_page(reader, &next_page);
     if (!valid) {
@@ -134,21 +134,21 @@
     buffer_clear(&reader->body);
     reader->status = 0;
     reader->calls++;
-    reader->call = upstream_start(reader->pool, &reader->address, false, &machine_events, reader);
+    reader->exchange = upstream_start(reader->pool, &reader->address, false, &machine_events, reader);
 }
 
 void machine_reader_tick(struct machine_reader *reader, uint64_t now_ms, bool wanted)
 {
-    bool timed_out = reader->call != NULL && now_ms >= reader->started_ms + MACHINE_READER_TIMEOUT_MS;
+    bool timed_out = reader->exchange != NULL && now_ms >= reader->started_ms + MACHINE_READER_TIMEOUT_MS;
     if (timed_out) {
-        upstream_cancel(reader->pool, reader->call);
-        reader->call = NULL;
+        upstream_cancel(reader->pool, reader->exchange);
+        reader->exchange = NULL;
         machine_page_failed(reader);
     }
-    if (reader->call == NULL && !wanted) {
+    if (reader->exchange == NULL && !wanted) {
         machine_reader_reset(reader); /* pages kept for a retry would become outdated */
     }
-    if (reader->call == NULL && wanted && now_ms >= reader->due_ms) {
+    if (reader->exchange == NULL && wanted && now_ms >= reader->due_ms) {
         reader->due_ms = now_ms + reader->period_ms;
         reader->started_ms = now_ms;
         if (reader->retries == 0) {
@@ -160,8 +160,8 @@
 
 void machine_reader_close(struct machine_reader *reader)
 {
-    if (reader->call != NULL) {
-        upstream_cancel(reader->pool, reader->call);
+    if (reader->exchange != NULL) {
+        upstream_cancel(reader->pool, reader->exchange);
     }
     message_free(ServerList_fields, &reader->list);
     buffer_close(&reader->page_token);
--- a/src/proxy/machine_reader.h
+++ b/src/proxy/machine_reader.h
@@ -1,8 +1,9 @@
 /**
  * @file machine_reader.h
- * Periodically fetches the platform's machine list, page by page, and encodes
- * it as a ServerList in canonical order: equal lists have equal bytes. Invalid
- * and duplicate entries are skipped and counted (core/server_entries.h).
+ * Periodically fetches the platform's machine list, which lists its servers, page
+ * by page, and encodes it as a ServerList in canonical order: equal lists have
+ * equal bytes. Invalid and duplicate entries are skipped and counted
+ * (core/server_entries.h).
  *
  * A failed page is retried when the next fetch is due; earlier pages are kept.
  * After MACHINE_READER_MAX_RETRIES the fetch is abandoned. Only complete lists
@@ -28,7 +29,7 @@
     uint64_t due_ms;     /**< Earliest time of the next fetch or retry. */
     uint64_t started_ms; /**< Start of the current fetch, or of its last retry. */
     uint32_t retries;
-    struct upstream_exchange *call; /**< Request in flight, or NULL. */
+    struct upstream_exchange *exchange; /**< Request in flight, or NULL. */
     int status;
     struct buffer body;
     ServerList list;                         /**< Servers on the pages read so far. */
--- a/src/proxy/node.c
+++ b/src/proxy/node.c
@@ -84,6 +84,7 @@
     node_settings_close(&loaded);
 }
 
+/* The seeds in the file may change without a SIGHUP, so the file is read again while the state is not fresh. */
 static void node_check_settings(struct node *node)
 {
     if (node->settings_checked_ms == 0) {
@@ -292,7 +293,7 @@
     node_open_signals(node);
     node->boot_id = node_random();
     route_table_set_secret(node_random());
-    node->id = (uint32_t)node->boot_id | 1;
+    node->id = (uint32_t)node->boot_id | 1; /* never RAFT_NO_NODE */
     if (replica) {
         node->host = state_host_open(node);
         if (node->host == NULL) {
--- a/src/proxy/node.h
+++ b/src/proxy/node.h
@@ -1,9 +1,10 @@
 /**
  * @file node.h
- * Site daemon: one thread, one libuv loop. It is a gateway (frontend.h), a state
- * replica (state_host.h), or both. This module has the common parts:
- * connections to the state replicas, requests to their leader, the watch of the
- * site's state (core/watch.h), the machine list, and shutdown.
+ * Site daemon: one thread, one libuv loop. A site is one deployment: gateways,
+ * state replicas, and the servers that requests are forwarded to. A daemon is a
+ * gateway (frontend.h), a state replica (state_host.h), or both. This module has
+ * the common parts: connections to the state replicas, requests to their leader,
+ * the watch of the site's state (core/watch.h), the machine list, and shutdown.
  */
 #ifndef BANKBANK_PROXY_NODE_H
 #define BANKBANK_PROXY_NODE_H
@@ -59,8 +60,8 @@
     uv_signal_t terminate; /**< SIGTERM. */
     uv_signal_t interrupt; /**< SIGINT. */
     uv_signal_t reload;    /**< SIGHUP. */
-    uint32_t id;
-    uint64_t boot_id; /**< Random id of this run of the process. */
+    uint32_t id;           /**< Of a state replica: stored with its data; otherwise random for each run. */
+    uint64_t boot_id;      /**< Random id of this run of the process. */
     struct links_event_loop links_event_loop;
     struct links links;
     struct control_client client;      /**< Requests to the leader. */
@@ -78,7 +79,7 @@
     struct http_listener metrics;
     uint64_t last_tick_ms;
     uint64_t last_tick_disk_wait_ms; /**< state_host.disk_wait_ms at the last tick. */
-    uint64_t stall_end_ms;
+    uint64_t stall_end_ms;     /**< Loop time; 0: no stall yet. Servers' silence and failures before it do not count. */
     uint64_t last_received_ms; /**< Last frame from another daemon. */
     node_work_t work;          /**< Counters at the last `work` log line. */
     bool logged_fresh;
--- a/src/proxy/node_links.c
+++ b/src/proxy/node_links.c
@@ -254,7 +254,7 @@
     links_set_addresses(&node->links, addresses, count);
 }
 
-/* Group members first; returns the count, at most RAFT_MAX_MEMBERS - 1. */
+/* Group members first; returns the count, at most RAFT_MAX_MEMBERS - 1, which leaves room for this node. */
 static uint32_t node_connected_replicas(const struct node *node, uint32_t *nodes,
                                         struct raft_member_location *locations)
 {
--- a/src/proxy/state_host.c
+++ b/src/proxy/state_host.c
@@ -21,7 +21,7 @@
     host->node = node;
     host->watchers.refer_above = (uint32_t)node->settings.refer_above;
 
-    uint32_t new_node_id = (uint32_t)(node->boot_id >> 32) | 1;
+    uint32_t new_node_id = (uint32_t)(node->boot_id >> 32) | 1; /* never RAFT_NO_NODE */
     if (!identity_load(node->settings.data, new_node_id, &host->identity)) {
         event_log("disk_failed", "{s:s}", "error", "cannot load or create the identity file");
         free(host);
--- a/src/proxy/state_host.h
+++ b/src/proxy/state_host.h
@@ -1,7 +1,9 @@
 /**
  * @file state_host.h
- * State replica of a site daemon: storage, bootstrap and joining of the group,
- * watches of other daemons, and the operators' API.
+ * State replica of a site daemon: a member of the Raft group that stores the
+ * site's state (core/site_state.h), or a replica outside the group. Storage,
+ * bootstrap and joining of the group, watches of other daemons, and the operators'
+ * API.
  */
 #ifndef BANKBANK_PROXY_STATE_HOST_H
 #define BANKBANK_PROXY_STATE_HOST_H
--- a/tests/scripted/run_machine_reader.c
+++ b/tests/scripted/run_machine_reader.c
@@ -121,7 +121,7 @@
 {
     uint64_t failures = reader.failures;
     machine_reader_tick(&reader, script_number(command, 1, 0), !script_is(command, 2, "unwanted"));
-    while (reader.call != NULL) {
+    while (reader.exchange != NULL) {
         uv_run(&loop, UV_RUN_ONCE);
     }
     script_print(reader.failures > failures ? "failed\n" : "");
