--- a/tests/integration/support_site_servers.c
+++ b/tests/integration/support_site_servers.c
@@ -20,7 +20,7 @@
 
 enum {
     SITE_EVENTS = 3,
-    SITE_EVENT_PADDING = 1024,
+    SITE_EVENT_PADDING_BYTES = 1024,
     SITE_PENDING_CONNECTIONS = 4,
     SITE_BACKLOG = 128,
     SITE_MAX_CONNECTIONS = 64, /* tracked per server */
@@ -91,9 +91,9 @@
                   id);
     bool is_long = mode == SITE_LONG || mode == SITE_ABORT_UNREAD;
     int events = is_long ? SITE_LONG_EVENTS : SITE_EVENTS;
-    int padding = is_long ? SITE_EVENT_PADDING : 0;
+    int padding = is_long ? SITE_EVENT_PADDING_BYTES : 0;
     for (int i = last + 1; i <= events; i++) {
-        char event[SITE_EVENT_PADDING + 64];
+        char event[SITE_EVENT_PADDING_BYTES + 64];
         const char *text = site_on_run == NULL ? "piece" : id;
         int length = mode == SITE_NO_EVENT_IDS
                          ? snprintf(event, sizeof(event), "data: %s-%d\n\n", text, i)
--- a/tests/integration/test_deadlines.c
+++ b/tests/integration/test_deadlines.c
@@ -212,20 +212,20 @@
 
 /* ---- A gateway that was suspended ---------------------------------------------------- */
 
-static const int pauses[] = {600, 1200, 1800, 2400};
+static const int pauses_ms[] = {600, 1200, 1800, 2400};
 
 static void expect_bounded_timeouts_after_pauses(const char *what, bool reuse_connection,
                                                  void (*send)(test_request_t *request))
 {
     int served = 0;
-    for (size_t i = 0; i < sizeof(pauses) / sizeof(pauses[0]); i++) {
+    for (size_t i = 0; i < sizeof(pauses_ms) / sizeof(pauses_ms[0]); i++) {
         test_request_t request = request_new(CALLER_TIMEOUT_MS);
         if (reuse_connection) {
             request_send(&request, "/safe/x");
             ck_assert_int_eq(request_read_response(&request).status, 200);
             request = request_on(request.fd, CALLER_TIMEOUT_MS);
         }
-        uint64_t waited_ms = send_to_suspended(&request, pauses[i], send);
+        uint64_t waited_ms = send_to_suspended(&request, pauses_ms[i], send);
         outcome_t outcome = request_read_response(&request);
         expect_timeout_within(&request, &outcome, waited_ms, what);
         served += outcome.status == 200 ? 1 : 0;
--- a/tests/integration/test_site.c
+++ b/tests/integration/test_site.c
@@ -571,7 +571,7 @@
     return fd;
 }
 
-/* A started gateway queues requests, for a limited time, until it has the configuration. */
+/* A gateway that has just started lets requests wait, for a limited time, until it is configured. */
 START_TEST(a_request_waits_until_a_new_gateway_is_configured)
 {
     int fd = send_to_restarted_gateway("waits");
--- a/tests/scripted/run_headers.c
+++ b/tests/scripted/run_headers.c
@@ -7,7 +7,7 @@
 #include "proxy/caller_headers.h"
 #include "script.h"
 
-enum { MAX_HEAD = 16 << 10 };
+enum { MAX_HEAD_BYTES = 16 << 10 };
 
 static void write_request(const script_command_t *command, struct buffer *out)
 {
@@ -28,14 +28,14 @@
     }
 }
 
-static bool on_part(void *context, struct http_reader *reader)
+static bool ignore_event(void *context, struct http_reader *reader)
 {
     (void)context;
     (void)reader;
     return true;
 }
 
-static bool on_body(void *context, struct http_reader *reader, struct view part)
+static bool ignore_body(void *context, struct http_reader *reader, struct view part)
 {
     (void)context;
     (void)reader;
@@ -45,8 +45,9 @@
 
 static void run(const script_command_t *command)
 {
-    struct http_reader reader = {
-        .type = HTTP_REQUEST, .events = {NULL, on_part, on_body, on_part}, .max_head_bytes = MAX_HEAD};
+    struct http_reader reader = {.type = HTTP_REQUEST,
+                                 .events = {NULL, ignore_event, ignore_body, ignore_event},
+                                 .max_head_bytes = MAX_HEAD_BYTES};
     struct buffer request = {0};
     struct buffer lines = {0};
     caller_headers_use_t use = script_is(command, 0, "from-start") ? CALLER_HEADERS_FROM_START : CALLER_HEADERS_RESUMED;
