--- a/src/proxy/forward.h
+++ b/src/proxy/forward.h
@@ -44,7 +44,7 @@
     uint64_t budget_tokens;        /**< Budget of the program. */
     uint64_t max_tokens;           /**< Maximum tokens that this turn may generate. */
     char *served_by;               /**< Incarnation of the server that ran this turn to its end, or NULL. */
-    char *home;                    /**< Server that holds the program's prompt cache, or NULL. */
+    char *home;                    /**< Incarnation of the server that holds the program's prompt cache, or NULL. */
     bool persistent;               /**< Stored when it completes. */
     bool reservation_sent;         /**< Proposed, and not refused so far. */
     bool settled;                  /**< The reservation is settled, or its settlement was sent. */
--- a/src/proxy/node_settings.h
+++ b/src/proxy/node_settings.h
@@ -12,7 +12,7 @@
 #include "base/yaml.h"
 #include "core/zone_set.h"
 
-/** A state replica to connect to at startup. */
+/** A state replica to connect to, to learn the group's members; it need not be a member any more. */
 struct node_seed {
     char *address; /**< IP:PORT of its control address; peer links use the IP with `peer_port`. */
 };
