--- a/Makefile
+++ b/Makefile
@@ -10,9 +10,9 @@
 help:
 	@echo "deps     install what the build and the tests need"
 	@echo "build    build everything under $(BUILD)/"
-	@echo "demo     install, build, and show one daemon and a fleet at work, and verify the results"
+	@echo "demo     install, build, run one daemon and then a fleet, and verify the results"
 	@echo "fleet    run three daemons and the emulator until stopped"
-	@echo "test     unit tests, integration tests, simulated schedules"
+	@echo "test     unit, scripted, integration and fuzz tests, the soak, simulated schedules"
 	@echo "lint     formatter and static checks"
 	@echo "fuzz     run each fuzz target for a minute"
 	@echo "soak     real daemons under random faults: SECONDS=180 SEED=1"
--- a/src/daemon/chat_engine.c
+++ b/src/daemon/chat_engine.c
@@ -96,23 +96,24 @@
     buffer_close(&joined);
 }
 
-static void chat_merge_tool_call(json_t *calls, const json_t *fragment)
+/* Fragments with an index of 128 or more are ignored, which limits the size of the array. */
+static void chat_merge_tool_call(json_t *tool_calls, const json_t *fragment)
 {
     size_t index = (size_t)json_integer_value(json_object_get(fragment, "index"));
-    while (json_array_size(calls) <= index && index < 128) {
+    while (json_array_size(tool_calls) <= index && index < 128) {
         json_array_append_new(
-            calls, json_pack("{s:s,s:{s:s,s:s}}", "type", "function", "function", "name", "", "arguments", ""));
+            tool_calls, json_pack("{s:s,s:{s:s,s:s}}", "type", "function", "function", "name", "", "arguments", ""));
     }
-    json_t *call = json_array_get(calls, index);
+    json_t *tool_call = json_array_get(tool_calls, index);
     const json_t *function = json_object_get(fragment, "function");
     const char *id = json_string_value(json_object_get(fragment, "id"));
-    if (call == NULL) {
+    if (tool_call == NULL) {
         return;
     }
     if (id != NULL) {
-        json_object_set_new(call, "id", json_string(id));
+        json_object_set_new(tool_call, "id", json_string(id));
     }
-    json_t *target = json_object_get(call, "function");
+    json_t *target = json_object_get(tool_call, "function");
     chat_append_text(target, "name", json_string_value(json_object_get(function, "name")));
     chat_append_text(target, "arguments", json_string_value(json_object_get(function, "arguments")));
 }
@@ -128,13 +129,13 @@
     if (json_array_size(fragments) == 0) {
         return;
     }
-    json_t *calls = json_object_get(answer->message, "tool_calls");
-    if (calls == NULL) {
-        calls = json_array();
-        json_object_set_new(answer->message, "tool_calls", calls);
+    json_t *tool_calls = json_object_get(answer->message, "tool_calls");
+    if (tool_calls == NULL) {
+        tool_calls = json_array();
+        json_object_set_new(answer->message, "tool_calls", tool_calls);
     }
     for (size_t i = 0; i < json_array_size(fragments); i++) {
-        chat_merge_tool_call(calls, json_array_get(fragments, i));
+        chat_merge_tool_call(tool_calls, json_array_get(fragments, i));
     }
 }
 
--- a/src/daemon/chat_ledger.c
+++ b/src/daemon/chat_ledger.c
@@ -12,8 +12,8 @@
 #include "base/message.h"
 
 enum {
-    CHAT_ID_SUFFIX_DIGITS = 24,
-    CHAT_ID_PREFIX_DIGITS = 8,
+    CHAT_PROGRAM_ID_SUFFIX_DIGITS = 24, /* a random id is a letter, the prefix, "-" and the suffix */
+    CHAT_PROGRAM_ID_PREFIX_DIGITS = 8,
     CHAT_ATTEMPT_MARGIN_MS = 10000 /* time to store the outcome after the deadline */
 };
 
@@ -31,10 +31,10 @@
     call->single_call = true;
     call->program_id = call->single_call_id;
     if (key == NULL) {
-        char prefix[CHAT_ID_PREFIX_DIGITS + 1];
-        char suffix[CHAT_ID_SUFFIX_DIGITS + 1];
-        gateway_random_hex(prefix, CHAT_ID_PREFIX_DIGITS);
-        gateway_random_hex(suffix, CHAT_ID_SUFFIX_DIGITS);
+        char prefix[CHAT_PROGRAM_ID_PREFIX_DIGITS + 1];
+        char suffix[CHAT_PROGRAM_ID_SUFFIX_DIGITS + 1];
+        gateway_random_hex(prefix, CHAT_PROGRAM_ID_PREFIX_DIGITS);
+        gateway_random_hex(suffix, CHAT_PROGRAM_ID_SUFFIX_DIGITS);
         snprintf(call->single_call_id, sizeof(call->single_call_id), "s%s-%s", prefix, suffix);
         return;
     }
@@ -106,7 +106,7 @@
 {
     struct chat_answer *answer = &call->answer;
     if (!answer->has_usage) {
-        /* Charge the reserved upper bound. */
+        /* The engine reported no usage: charge the reserved upper bound. */
         answer->prompt_tokens = call->begin_result.context_tokens + call->request.new_tokens_bound;
         answer->completion_tokens = call->begin_result.granted_tokens;
     }
--- a/src/daemon/chat_request.h
+++ b/src/daemon/chat_request.h
@@ -34,9 +34,10 @@
     bool include_usage;   /**< stream_options.include_usage. */
     uint64_t deadline_ms; /**< X-Deadline-Ms; 0: not set. */
     uint64_t max_tokens;
-    /** Upper bound of the prompt tokens that the request adds, about one per byte; estimates use a quarter of it. */
+    /** Upper bound of the prompt tokens that the request adds, about one per byte. Estimates use a quarter
+     * of it, since a token of ordinary text has about four bytes. */
     uint64_t new_tokens_bound;
-    uint64_t body_hash; /**< Detects resent requests; ignores the stream options. */
+    uint64_t body_hash; /**< Equal if a request is resent; ignores the stream options. */
 };
 
 /** Adds errors to `findings`. Free the request with chat_request_close(), also after errors. */
--- a/src/daemon/chat_response.c
+++ b/src/daemon/chat_response.c
@@ -48,9 +48,9 @@
 static void chat_send_replay_stream(struct chat_call *call, json_t *message, const EntryResult *result)
 {
     struct buffer events = {0};
-    json_t *calls = json_object_get(message, "tool_calls");
-    for (size_t i = 0; i < json_array_size(calls); i++) {
-        json_object_set_new(json_array_get(calls, i), "index", json_integer((json_int_t)i));
+    json_t *tool_calls = json_object_get(message, "tool_calls");
+    for (size_t i = 0; i < json_array_size(tool_calls); i++) {
+        json_object_set_new(json_array_get(tool_calls, i), "index", json_integer((json_int_t)i));
     }
     json_t *event = chat_new_completion(call, "chat.completion.chunk");
     json_object_set_new(event, "choices", json_pack("[{s:i,s:O,s:n}]", "index", 0, "delta", message, "finish_reason"));
--- a/src/daemon/operator_handover.c
+++ b/src/daemon/operator_handover.c
@@ -1,4 +1,4 @@
-/* Operator RPC: handover of programs from another site: prepare, import, commit, abort. */
+/* Operator RPC: hand-over of programs from another site: prepare, import, commit, abort. */
 #include <stdlib.h>
 #include <string.h>
 
--- a/src/daemon/operator_internal.h
+++ b/src/daemon/operator_internal.h
@@ -34,7 +34,7 @@
 void operator_get(struct operator_call *call);
 void operator_list(struct operator_call *call);
 
-/* ---- Handover of programs from another site: operator_handover.c ---------------------- */
+/* ---- Hand-over of programs from another site: operator_handover.c --------------------- */
 
 void operator_handover(struct operator_call *call, HandoverStep step);
 
--- a/src/daemon/operator_resources.c
+++ b/src/daemon/operator_resources.c
@@ -114,9 +114,11 @@
         return;
     }
     struct buffer body = {0};
+    /* A resource takes fewer bytes here than its item in the reply; 32 more bytes are enough for the revision. */
     uint8_t *output = buffer_reserve(&body, reply.length + 32);
     pb_ostream_t stream = pb_ostream_from_buffer(output, reply.length + 32);
     bool encoded = true;
+    /* The items are ordered newest first, the response oldest first. */
     for (pb_size_t i = state.items_count; i > 0; i--) {
         const ConfigItem *item = &state.items[i - 1];
         if (item->kind == call->kind) {
--- a/src/daemon/programs.c
+++ b/src/daemon/programs.c
@@ -113,6 +113,7 @@
     }
 }
 
+/* Without a name, returns the tenant's default policy, or else the first policy by name. */
 static const Policy *programs_find_policy(const struct programs_request *request, const char *name,
                                           struct findings *findings)
 {
--- a/src/daemon/services.c
+++ b/src/daemon/services.c
@@ -9,7 +9,7 @@
 
 enum {
     SERVICES_HANDLED = 200,
-    SERVICES_MAX_BACKENDS = 256,
+    SERVICES_MAX_BACKENDS = 256, /* further back ends of a service are ignored */
     SERVICES_CONNECT_TIMEOUT_MS = 1000,
     SERVICES_DEFAULT_TIMEOUT_MS = 30000,
     SERVICES_MAX_ATTEMPTS = 3,
@@ -178,6 +178,7 @@
             break;
         }
         enum http_transfer_result result = services_run_attempt(call, backend);
+        /* A draining back end responds with 503 before it runs anything. */
         bool refused = result == HTTP_TRANSFER_DONE && call->draining && call->status == 503;
         if (result == HTTP_TRANSFER_DONE && !refused) {
             services_send_response(call);
--- a/tests/clients/clients.mjs
+++ b/tests/clients/clients.mjs
@@ -17,7 +17,7 @@
   return createClient(service, transport);
 }
 
-async function driveOperators() {
+async function testOperators() {
   const operators = operatorClient();
   const engines = [0, 1].map((number) => ({ name: `e-${number}`, baseUrl: `${ENGINES}/engines/${number}` }));
   const created = await operators.createPool({
@@ -50,7 +50,7 @@
   return (await reply.json()).id;
 }
 
-async function driveCallers() {
+async function testCallers() {
   const openai = new OpenAI({ baseURL: `${CALLERS}/v1`, apiKey: "any" });
   const models = await openai.models.list();
   assert.ok(models.data.some((model) => model.id === "agent-model"));
@@ -90,6 +90,6 @@
   assert.equal(conflict.status, 409);
 }
 
-await driveOperators();
-await driveCallers();
+await testOperators();
+await testCallers();
 console.log("100%: public clients passed");
--- a/tests/integration/fleet.h
+++ b/tests/integration/fleet.h
@@ -14,7 +14,12 @@
 
 #include "base/buffer.h"
 
-enum { FLEET_MAX_DAEMONS = 5, FLEET_WAIT_TIMEOUT_MS = 30000, FLEET_MAX_TOKENS = 24, FLEET_LOG_LINES = 12 };
+enum {
+    FLEET_MAX_DAEMONS = 5,
+    FLEET_WAIT_TIMEOUT_MS = 30000,
+    FLEET_MAX_TOKENS = 24, /**< max_tokens of each call; the expected answers depend on it. */
+    FLEET_LOG_LINES = 12   /**< Printed of each log after a failure. */
+};
 
 struct fleet_daemon {
     pid_t process; /**< 0: not running. */
--- a/tests/integration/test_attempts.c
+++ b/tests/integration/test_attempts.c
@@ -132,7 +132,8 @@
 }
 END_TEST
 
-/* A gateway that reads prompt responses late, since it was suspended, must not treat the servers as unreachable. */
+/* A gateway that was suspended reads responses late that arrived in time; it must not treat the servers as
+ * unreachable. */
 START_TEST(a_suspended_gateway_keeps_its_servers)
 {
     pid_t gateway = site_process(SITE_REPLICAS);
--- a/tests/integration/test_fleet.c
+++ b/tests/integration/test_fleet.c
@@ -1,4 +1,4 @@
-/* Three daemons: failed and restarted replicas, concurrent operators, handover of a program from another site, leaving
+/* Three daemons: failed and restarted replicas, concurrent operators, hand-over of a program from another site, leaving
  * machines. */
 #include <signal.h>
 #include <stdio.h>
--- a/tests/integration/test_stale_configuration.c
+++ b/tests/integration/test_stale_configuration.c
@@ -141,7 +141,7 @@
     for (int replica = 0; replica < SITE_REPLICAS; replica++) {
         site_kill_daemon(replica, SIGKILL);
     }
-    clock_sleep_us(2500 * 1000);
+    clock_sleep_us(2500 * 1000); /* longer than NODE_FRESHNESS_TIMEOUT_MS (proxy/node.h) */
     int status = request_status(0, "/never/x");
     ck_assert_msg(status == 503, "status %d for an unknown route while no replica runs, expected 503", status);
     for (int replica = 0; replica < SITE_REPLICAS; replica++) {
