--- a/src/ctl/client.c
+++ b/src/ctl/client.c
@@ -8,7 +8,11 @@
 #include "net/http_client.h"
 #include "net/json_input.h"
 
-enum { CTL_TIMEOUT_MS = 70000, CTL_CONNECT_TIMEOUT_MS = 3000, CTL_STATUS_OK = 200 };
+enum {
+    CTL_TIMEOUT_MS = 70000, /* longer than any default timeout of the daemon (60 s) */
+    CTL_CONNECT_TIMEOUT_MS = 3000,
+    CTL_STATUS_OK = 200
+};
 
 static bool ctl_on_data(void *context, int status, struct view data)
 {
--- a/src/daemon/chat_call.h
+++ b/src/daemon/chat_call.h
@@ -89,7 +89,7 @@
 /** Sends the error that the answer could not be stored, or that another attempt superseded this one. */
 void chat_send_unconfirmed(struct chat_call *call, ResultCode code);
 
-/** Sends the error that no engine answered, and records the abort in the ledger. */
+/** Sends the error of a call that was lost, rejected or not run, and records the abort in the ledger. */
 void chat_send_failure(struct chat_call *call);
 
 /** Sends `error` and counts the call as refused; for calls that did not run. */
--- a/src/daemon/config_view.h
+++ b/src/daemon/config_view.h
@@ -39,7 +39,8 @@
 /** NULL is allowed. */
 void config_view_unpin(struct config_view *view);
 
-/** NULL if nothing matches; the result is valid as long as the view is pinned. */
+/** NULL if nothing matches; the result is valid as long as the view is pinned. Of several pools that serve a model, the
+ * first by name is returned. */
 const Service *config_view_service(const struct config_view *view, const char *name);
 const Pool *config_view_pool(const struct config_view *view, const char *name);
 const Pool *config_view_pool_of_model(const struct config_view *view, const char *model);
--- a/tests/integration/support_fleet.c
+++ b/tests/integration/support_fleet.c
@@ -158,7 +158,7 @@
     fleet_expect_ctl(fleet, 1, pool);
     fleet_expect_ctl(fleet, 1, policy);
     fleet_expect_ctl(fleet, 1, service);
-    static const char *const wait_for_all[] = {"wait", "4", NULL};
+    static const char *const wait_for_all[] = {"wait", "4", NULL}; /* revision 1 and three changes */
     fleet_expect_ctl(fleet, 1, wait_for_all);
 }
 
