--- a/src/daemon/control.h
+++ b/src/daemon/control.h
@@ -49,9 +49,10 @@
 void control_call_async(struct control *control, uint32_t group, RequestKind kind, struct view body,
                         uint32_t timeout_ms);
 
-/** Whether this daemon holds a lease and has a configuration. */
+/** Whether this daemon holds a lease (core/lease_table.h) and has a configuration; otherwise it refuses calls. */
 bool control_is_ready(const struct control *control);
 
+/** Fencing epoch of the lease. */
 uint64_t control_epoch(const struct control *control);
 
 /** The control client then reports that this daemon is draining. */
--- a/src/daemon/endpoints.h
+++ b/src/daemon/endpoints.h
@@ -21,7 +21,7 @@
     uint32_t own_calls;           /**< In flight from this daemon. */
     uint32_t reported_calls;      /**< Running and waiting in its last report. */
     uint32_t own_calls_at_report; /**< own_calls when that report arrived. */
-    uint32_t slots;               /**< Most concurrent calls, by its last report; 0: not known. */
+    uint32_t slots;               /**< Maximum concurrent calls, by its last report; 0: not known. */
     double mean_call_ms;          /**< Exponential moving average of successful calls; 0: none yet. */
     uint64_t draining_until_ms;   /**< Monotonic clock; 0: never reported as draining. */
     char *host;                   /**< "IP:PORT" of the URL. */
@@ -48,7 +48,7 @@
     bool present; /**< False: the response had no load headers. */
     uint32_t running;
     uint32_t waiting;
-    uint32_t slots; /**< Most calls that the engine runs concurrently. */
+    uint32_t slots; /**< Maximum calls that the engine runs concurrently. */
 };
 
 /** ENDPOINT_NEUTRAL does not change the endpoint's health. */
--- a/src/daemon/operator_status.c
+++ b/src/daemon/operator_status.c
@@ -23,8 +23,8 @@
     operator_send_message(call, GetStatusResponse_fields, &response);
 }
 
-/* Asks the leader of the configuration group which nodes have not applied the revision; true if none. Free `list` with
- * message_free(); call again only after that. */
+/* Asks the leader of the configuration group which gateways have not applied the revision; true if it exists and there
+ * are none. Free `list` with message_free(); call again only after that. */
 static bool operator_is_revision_applied(struct operator_call *call, uint64_t revision, struct buffer *reply,
                                          LagList *list)
 {
--- a/tests/integration/test_large_site.c
+++ b/tests/integration/test_large_site.c
@@ -1,4 +1,5 @@
-/* A site with many more daemons than members of the replica group; three daemons are seeds. */
+/* A site with many more daemons than members of the replica group. Three daemons are seeds, through which the others
+ * find the group. */
 #include <signal.h>
 #include <stdio.h>
 #include <string.h>
@@ -9,9 +10,9 @@
 #include "site.h"
 
 enum {
-    EXTRA_DAEMONS = SITE_MAX_EXTRA_DAEMONS,
+    EXTRA_REPLICAS = SITE_MAX_EXTRA_DAEMONS,
     FIRST_EXTRA = SITE_REPLICAS + SITE_GATEWAYS,
-    DAEMONS = FIRST_EXTRA + EXTRA_DAEMONS,
+    DAEMONS = FIRST_EXTRA + EXTRA_REPLICAS,
     SETTLE_MS = 300, /* for connections and messages between daemons */
     MEMBERS = MEMBERSHIP_VOTERS_LARGE + MEMBERSHIP_SPARES
 };
@@ -93,7 +94,7 @@
 
 static void start_large_site(void)
 {
-    site_start_with_extra_replicas(EXTRA_DAEMONS);
+    site_start_with_extra_replicas(EXTRA_REPLICAS);
 }
 
 /* The seeds must form the group although all other daemons connect to them too. */
