--- a/src/daemon/control.c
+++ b/src/daemon/control.c
@@ -101,11 +101,11 @@
 {
     struct control *control = context;
     if (control->history_store.failed) {
-        log_error(STATE_LOG, "log entries cannot be acknowledged: %s", control->history_store.error);
+        log_error(STATE_LOG, "stopped acknowledging: %s", control->history_store.error);
         return REPLICA_SYNC_FAILED;
     }
     if (!log_store_sync(&control->log_store)) {
-        log_error(STATE_LOG, "log entries cannot be acknowledged: %s", control->log_store.error);
+        log_error(STATE_LOG, "stopped acknowledging: %s", control->log_store.error);
         return control->log_store.failed ? REPLICA_SYNC_FAILED : REPLICA_SYNC_BLOCKED;
     }
     return REPLICA_SYNC_DONE;
