--- a/src/net/event_stream.c
+++ b/src/net/event_stream.c
@@ -46,7 +46,7 @@
     event->data = buffer_view(&stream->data);
 }
 
-/* Length of the first event including its empty line; 0 if it is incomplete. */
+/* Length of the first event including its empty line, which is searched from `from` on; 0 if it is incomplete. */
 static size_t event_length(const struct event_stream *stream, size_t from)
 {
     const struct buffer *pending = &stream->pending;
--- a/src/net/http.c
+++ b/src/net/http.c
@@ -10,7 +10,7 @@
 #include "base/log.h"
 
 enum {
-    HTTP_READ_STEP = 1 << 14,
+    HTTP_READ_STEP_BYTES = 1 << 14,
     HTTP_MESSAGE_MAX = 512,
     HTTP_BAD_REQUEST = 400,
     HTTP_LENGTH_REQUIRED = 411,
@@ -36,7 +36,7 @@
     }
     size_t expected = has_length ? (size_t)info->content_length : limit + 1;
     while (body->length < expected) {
-        size_t step = expected - body->length < HTTP_READ_STEP ? expected - body->length : HTTP_READ_STEP;
+        size_t step = expected - body->length < HTTP_READ_STEP_BYTES ? expected - body->length : HTTP_READ_STEP_BYTES;
         int received = mg_read(connection, buffer_reserve(body, step), step);
         if (received <= 0) {
             break;
--- a/src/net/http_client.c
+++ b/src/net/http_client.c
@@ -9,15 +9,15 @@
 #include <curl/curl.h>
 
 enum {
-    HTTP_CLIENT_POOL = 512,
-    HTTP_CLIENT_CONNECTIONS = 8,
-    HTTP_HEADER_MAX = 1024,
+    HTTP_CLIENT_MAX_IDLE_HANDLES = 512,
+    HTTP_CLIENT_MAX_CONNECTIONS = 8, /* kept open by a handle */
+    HTTP_HEADER_LINE_BYTES = 1024,   /* with its terminator */
     HTTP_CLIENT_BUFFER_BYTES = 8 << 10
 };
 
 /* Idle handles, guarded by http_pool_lock; a stack, so that open connections are reused. */
 static pthread_mutex_t http_pool_lock = PTHREAD_MUTEX_INITIALIZER;
-static CURL *http_pool[HTTP_CLIENT_POOL];
+static CURL *http_pool[HTTP_CLIENT_MAX_IDLE_HANDLES];
 static size_t http_pool_count;
 
 struct http_transfer {
@@ -56,7 +56,7 @@
 {
     curl_easy_reset(handle);
     pthread_mutex_lock(&http_pool_lock);
-    bool pooled = http_pool_count < HTTP_CLIENT_POOL;
+    bool pooled = http_pool_count < HTTP_CLIENT_MAX_IDLE_HANDLES;
     if (pooled) {
         http_pool[http_pool_count++] = handle;
     }
@@ -71,7 +71,7 @@
     if (request->header_count == HTTP_CLIENT_MAX_HEADERS) {
         return;
     }
-    char line[HTTP_HEADER_MAX];
+    char line[HTTP_HEADER_LINE_BYTES];
     va_list arguments;
     va_start(arguments, format);
     vsnprintf(line, sizeof(line), format, arguments);
@@ -129,9 +129,9 @@
     curl_easy_setopt(handle, CURLOPT_NOSIGNAL, 1L);
     curl_easy_setopt(handle, CURLOPT_TCP_NODELAY, 1L);
     curl_easy_setopt(handle, CURLOPT_BUFFERSIZE, (long)HTTP_CLIENT_BUFFER_BYTES);
-    curl_easy_setopt(handle, CURLOPT_MAXCONNECTS, (long)HTTP_CLIENT_CONNECTIONS);
+    curl_easy_setopt(handle, CURLOPT_MAXCONNECTS, (long)HTTP_CLIENT_MAX_CONNECTIONS);
     curl_easy_setopt(handle, CURLOPT_HTTP_VERSION, (long)CURL_HTTP_VERSION_1_1);
-    curl_easy_setopt(handle, CURLOPT_PROXY, "");
+    curl_easy_setopt(handle, CURLOPT_PROXY, ""); /* ignores proxy settings in the environment */
     curl_easy_setopt(handle, CURLOPT_TIMEOUT_MS, (long)request->timeout_ms);
     curl_easy_setopt(handle, CURLOPT_CONNECTTIMEOUT_MS, (long)request->connect_timeout_ms);
     /* libcurl resends the request by itself if a reused connection turns out to be closed. */
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -41,7 +41,7 @@
 bool http_client_init(void);
 void http_client_close(void);
 
-/** Adds a header line; ignored once there are HTTP_CLIENT_MAX_HEADERS. */
+/** Adds a header line, truncated to 1,023 bytes; ignored once there are HTTP_CLIENT_MAX_HEADERS. */
 void http_request_add_header(struct http_request *request, const char *format, ...)
     __attribute__((format(printf, 2, 3)));
 
--- a/src/net/http_framing.c
+++ b/src/net/http_framing.c
@@ -6,12 +6,15 @@
 
 #include "net/http.h"
 
-enum { HTTP_FRAMING_STATUS = 400, HTTP_FRAMING_LENGTH_DIGITS = 18 };
+enum {
+    HTTP_FRAMING_STATUS = 400,
+    HTTP_FRAMING_MAX_DIGITS = 18 /* of Content-Length, so that it fits into 64 bits */
+};
 
 static bool http_is_length(const char *text)
 {
     size_t digits = strspn(text, "0123456789");
-    return digits > 0 && digits <= HTTP_FRAMING_LENGTH_DIGITS && text[digits] == '\0';
+    return digits > 0 && digits <= HTTP_FRAMING_MAX_DIGITS && text[digits] == '\0';
 }
 
 /*
--- a/src/net/http_reader.c
+++ b/src/net/http_reader.c
@@ -3,7 +3,7 @@
 #include <string.h>
 #include <strings.h>
 
-enum { HTTP_STATUS_SWITCHING = 101, HTTP_LINE_END = 2 };
+enum { HTTP_STATUS_SWITCHING = 101, HTTP_CRLF_BYTES = 2 };
 
 bool http_name_equal(struct view name, const char *text)
 {
@@ -97,13 +97,13 @@
 {
     struct view rest = buffer_view(&reader->head);
     bool first = true;
-    while (rest.length > HTTP_LINE_END) {
-        const uint8_t *end = memmem(rest.data, rest.length, "\r\n", HTTP_LINE_END);
+    while (rest.length > HTTP_CRLF_BYTES) {
+        const uint8_t *end = memmem(rest.data, rest.length, "\r\n", HTTP_CRLF_BYTES);
         if (end == NULL) {
             return false;
         }
         struct view line = view_of(rest.data, (size_t)(end - rest.data));
-        rest = view_of(end + HTTP_LINE_END, rest.length - line.length - HTTP_LINE_END);
+        rest = view_of(end + HTTP_CRLF_BYTES, rest.length - line.length - HTTP_CRLF_BYTES);
         if (line.length == 0) {
             break;
         }
@@ -123,6 +123,7 @@
     return !first;
 }
 
+/* At most 18 digits, so that the number fits into 64 bits. */
 static bool http_is_decimal(struct view text)
 {
     for (size_t i = 0; i < text.length; i++) {
--- a/src/net/links.h
+++ b/src/net/links.h
@@ -34,7 +34,7 @@
     LINKS_KEEP_CAPACITY_BYTES = 32 << 10, /**< Buffers up to this capacity are never freed for being unused. */
     LINKS_SHRINK_MS = 1000,               /**< Interval of checks that free larger, mostly unused buffers. */
     LINKS_MAX_REPLICAS = 256,             /**< Array size for links_list_replicas(). */
-    LINKS_ACK_TIMEOUT_MS = 2000           /**< TCP_USER_TIMEOUT. */
+    LINKS_ACK_TIMEOUT_MS = 2000 /**< TCP_USER_TIMEOUT: unacknowledged for this long, bytes end a connection. */
 };
 
 struct links_handler {
--- a/src/net/peer_keepalive.c
+++ b/src/net/peer_keepalive.c
@@ -29,9 +29,9 @@
 
 bool peer_keepalive_start(int fd)
 {
-    static const int idle_s = PEER_KEEPALIVE_IDLE_MS / PEER_KEEPALIVE_MS_PER_S;
+    static const int interval_s = PEER_KEEPALIVE_IDLE_MS / PEER_KEEPALIVE_MS_PER_S;
     bool started = peer_keepalive_set_option(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, PEER_KEEPALIVE_TIMEOUT_MS) &&
-                   peer_keepalive_set_option(fd, IPPROTO_TCP, TCP_KEEPINTVL, idle_s) &&
+                   peer_keepalive_set_option(fd, IPPROTO_TCP, TCP_KEEPINTVL, interval_s) &&
                    peer_keepalive_set_option(fd, SOL_SOCKET, SO_KEEPALIVE, 1);
     peer_keepalive_probe(fd); /* SO_KEEPALIVE alone counts the idle time from now */
     return started;
--- a/src/net/upstream.c
+++ b/src/net/upstream.c
@@ -223,7 +223,7 @@
     }
     if (status != 0) {
         connection->pool->counters.connect_failures++;
-        upstream_report_probe(connection, true); /* a refusal, like any error before the timeout, counts as an answer */
+        upstream_report_probe(connection, true); /* any error before the timeout counts as an answer */
         if (connection->exchange != NULL) {
             connection->exchange->refused = status == UV_ECONNREFUSED;
         }
--- a/src/net/upstream.h
+++ b/src/net/upstream.h
@@ -8,7 +8,8 @@
  * An idle connection is reused only if nothing arrived on it since its last
  * response, and is closed well before the server would close it.
  *
- * An exchange may wait for a connection. Its request is serialized only when one
+ * An exchange may wait for a connection that is being established, or for an idle
+ * one if the server has `max_connections`. Its request is serialized only when one
  * is available, so that time values in it are correct and a request whose deadline
  * has passed is not sent.
  */
@@ -26,7 +27,7 @@
 #include "net/http_reader.h"
 
 enum {
-    UPSTREAM_CONNECT_MS = 400,
+    UPSTREAM_CONNECT_MS = 400,     /**< Connect timeout. */
     UPSTREAM_PROBE_MS = 50,        /**< Connect timeout of a probe. */
     UPSTREAM_IDLE_MS = 4000,       /**< Idle timeout if the server sends no Keep-Alive header. */
     UPSTREAM_IDLE_MARGIN_MS = 700, /**< Idle connections are closed this long before the server's timeout. */
@@ -91,7 +92,8 @@
     UT_hash_handle hh;                 /**< By key. */
 };
 
-/** Receives the result of upstream_probe(): whether the server answered, a refusal included. */
+/** Receives the result of upstream_probe(): whether the server answered. A refusal, like any error before the connect
+ * timeout, counts as an answer. */
 typedef void (*upstream_probe_callback)(void *context, const char *address, bool answered);
 
 /** Connection pool of all servers. */
--- a/src/net/upstream_response.c
+++ b/src/net/upstream_response.c
@@ -18,6 +18,7 @@
     }
     uint64_t seconds = 0;
     const uint8_t *end = value.data + value.length;
+    /* Ignores further digits once the value is an hour or more, to prevent an overflow. */
     for (at += sizeof(key) - 1; at < end && *at >= '0' && *at <= '9' && seconds < 3600; at++) {
         seconds = seconds * 10 + (uint64_t)(*at - '0');
     }
