--- a/src/bench/bench.h
+++ b/src/bench/bench.h
@@ -36,18 +36,18 @@
     const char *model;
     const char *policy;
     struct bench_mix mix;
-    double program_rate; /**< Programs per second, total of both paths. */
+    double program_rate; /**< Programs per second, through daemons and direct ones together. */
     double plain_rate;   /**< Plain requests per second. */
     double seconds;      /**< Time during which programs and plain requests arrive. */
     uint32_t max_open;   /**< Maximum concurrent arrivals; further ones are dropped and counted. */
-    uint32_t timeout_ms; /**< Timeout of one call. */
+    uint32_t timeout_ms; /**< Timeout of one HTTP request. */
     uint32_t max_turns;  /**< Per program. */
     bool exact_length;   /**< Request answers of exactly max_tokens. */
     bool keep_programs;  /**< Do not delete finished programs. */
     uint64_t seed;
 };
 
-/** Measurements of the calls through the daemons, or of those directly to the engines; counters are atomic. */
+/** Measurements of the programs that run through the daemons, or directly at the engines; counters are atomic. */
 struct bench_results {
     const char *name;           /**< "gateway" or "direct". */
     struct samples create;      /**< Creation of a program, ms. */
@@ -95,7 +95,7 @@
     uint64_t seed;              /**< State of its random number generator. */
     char id[96];                /**< Id at the daemons. */
     uint32_t number;            /**< Arrival number; selects the first target. */
-    uint32_t next_call;         /**< Next call number. */
+    uint32_t next_call;         /**< Number of the next turn (from 1); sent in X-Program-Call. */
     uint64_t conversation_hash; /**< See answer_extend_hash(). */
     uint64_t context_tokens;    /**< Tokens of prompt and answer of the last turn. */
     struct buffer history;      /**< JSON messages so far, comma-separated; only for direct calls. */
--- a/src/bench/load.c
+++ b/src/bench/load.c
@@ -123,6 +123,7 @@
     return NULL;
 }
 
+/* The CPU time is stored negative: bench_run() adds its final value. */
 static void load_record_baseline(struct bench *bench)
 {
     for (uint32_t i = 0; i < bench->config.gateway_count; i++) {
--- a/src/emulator/engine.h
+++ b/src/emulator/engine.h
@@ -48,7 +48,7 @@
 struct engine_counters {
     uint64_t requests;
     uint64_t finished;  /**< Requests answered. */
-    uint64_t cancelled; /**< Requests removed unfinished: truncated, or the caller disconnected. */
+    uint64_t cancelled; /**< Requests removed unfinished: truncated, or the client disconnected. */
     uint64_t prompt_tokens;
     uint64_t cached_tokens;     /**< Prompt tokens found in the cache. */
     uint64_t completion_tokens; /**< Tokens generated. */
--- a/src/emulator/engine_api.c
+++ b/src/emulator/engine_api.c
@@ -9,7 +9,12 @@
 #include "emulator/emulator.h"
 #include "net/http.h"
 
-enum { API_HANDLED = 200, API_DEFAULT_MAX_TOKENS = 256, API_HANG_POLL_US = 20000, API_HANG_MAX_US = 60000000 };
+enum {
+    API_HANDLED = 200, /* return value of handlers, which have sent the response: CivetWeb only logs it */
+    API_DEFAULT_MAX_TOKENS = 256,
+    API_HANG_POLL_US = 20000,
+    API_HANG_MAX_US = 60000000
+};
 
 static const char API_CACHE_PATH[] = "/v1/cache";
 
@@ -85,7 +90,7 @@
     return request->fault == ENGINE_FAULT_TRUNCATE && produced >= request->fault_amount;
 }
 
-/* False if the answer was truncated, the caller disconnected or the engine is stopping. */
+/* False if the answer was truncated, the client disconnected or the engine is stopping. */
 static bool request_stream_tokens(struct engine_request *request)
 {
     uint64_t sent = 0;
--- a/src/emulator/site_api.c
+++ b/src/emulator/site_api.c
@@ -9,7 +9,10 @@
 #include "emulator/emulator.h"
 #include "net/http.h"
 
-enum { API_HANDLED = 200, API_MAX_BODY_BYTES = 16 << 20 };
+enum {
+    API_HANDLED = 200, /* return value of handlers, which have sent the response: CivetWeb only logs it */
+    API_MAX_BODY_BYTES = 16 << 20
+};
 
 /* ---- Plain back ends --------------------------------------------------------------- */
 
