--- a/tests/soak/faults.c
+++ b/tests/soak/faults.c
@@ -252,7 +252,7 @@
     return now_ms() < until_ms && now_ms() < end_ms && oracle_violation_count() == 0;
 }
 
-/* Server faults have a random sequence of their own. */
+/* Injects faults of all kinds, and further server faults from a random sequence of their own. */
 static void run_mixed(uint64_t *seed, uint64_t *server_seed)
 {
     uint64_t until_ms = now_ms() + MIXED_ROUND_MS;
@@ -277,7 +277,7 @@
     }
 }
 
-/* First gives other faults time to end. Slow servers keep requests in flight. */
+/* Runs planned operations alone: other faults first get time to end. Slow servers keep requests in flight. */
 static void run_planned(uint64_t *seed)
 {
     poll_for(can_continue(end_ms) ? FAULT_EXTRA_MS : 0);
--- a/tests/soak/oracle.c
+++ b/tests/soak/oracle.c
@@ -34,7 +34,7 @@
 static int oracle_violations;
 
 /* Call with the lock held. */
-static void oracle_print(const char *format, va_list arguments)
+static void oracle_add_violation(const char *format, va_list arguments)
 {
     if (oracle_violations++ < ORACLE_MAX_PRINTED) {
         printf("VIOLATED ");
@@ -49,7 +49,7 @@
 {
     va_list arguments;
     va_start(arguments, format);
-    oracle_print(format, arguments);
+    oracle_add_violation(format, arguments);
     va_end(arguments);
 }
 
@@ -58,7 +58,7 @@
     va_list arguments;
     va_start(arguments, format);
     pthread_mutex_lock(&oracle_lock);
-    oracle_print(format, arguments);
+    oracle_add_violation(format, arguments);
     pthread_mutex_unlock(&oracle_lock);
     va_end(arguments);
 }
@@ -125,16 +125,16 @@
 
 static void oracle_check_deadline(const oracle_request_t *request, const site_run_t *run)
 {
-    uint64_t end_ms = request->expectation.deadline_ms;
+    uint64_t deadline_ms = request->expectation.deadline_ms;
     /* The gateway does not cause the read delay of the proxy and the server, which are threads of this process. */
     uint64_t slack_ms = ORACLE_DEADLINE_SLACK_MS + ORACLE_LOCAL_READERS * site_read_delay_ms();
-    if (end_ms != 0 && run->remaining_ms < 0) {
+    if (deadline_ms != 0 && run->remaining_ms < 0) {
         oracle_report_locked("deadline: server %d received no deadline for %s", run->server, run->id);
-    } else if (end_ms != 0 && run->at_ms + (uint64_t)run->remaining_ms > end_ms + slack_ms) {
+    } else if (deadline_ms != 0 && run->at_ms + (uint64_t)run->remaining_ms > deadline_ms + slack_ms) {
         oracle_report_locked(
             "deadline: server %d received a timeout of %lld ms for %s, %lld ms past the caller's deadline", run->server,
             (long long)run->remaining_ms, run->id,
-            (long long)(run->at_ms + (uint64_t)run->remaining_ms) - (long long)end_ms);
+            (long long)(run->at_ms + (uint64_t)run->remaining_ms) - (long long)deadline_ms);
     }
 }
 
--- a/tests/soak/programs.c
+++ b/tests/soak/programs.c
@@ -11,11 +11,11 @@
 
 enum {
     TOKENS_PER_EVENT = 5, /* must match the site's configuration */
-    BUDGET_TURNS = 6,
-    MAX_TURNS = 9,     /* more than the budget allows */
-    MAX_ATTEMPTS = 40, /* per turn */
+    BUDGET_TURNS = 6,     /* complete turns that a program's token budget covers */
+    MAX_TURNS = 9,        /* more than the budget allows */
+    MAX_ATTEMPTS = 40,    /* per turn */
     RETRY_DELAY_US = 100000,
-    SHORT_INPUT_BYTES = 2000, /* includes the terminator */
+    SHORT_INPUT_BYTES = 2000, /* largest input of a turn, with its terminator */
     LONG_INPUT_BYTES = 24000, /* for one program in LONG_INPUT_ONE_IN, to trigger snapshots */
     LONG_INPUT_ONE_IN = 6,
     TIMEOUT_MIN_MS = 1500, /* plus up to TIMEOUT_EXTRA_MS */
--- a/tests/soak/soak.c
+++ b/tests/soak/soak.c
@@ -20,7 +20,7 @@
 #include "fault_log.h"
 #include "oracle.h"
 
-enum { MEMORY_LIMIT_MB = 64, FINISH_TIMEOUT_S = 150 /* for recovery and the final checks */ };
+enum { MEMORY_LIMIT_MB = 64 /* of each daemon */, FINISH_TIMEOUT_S = 150 /* for recovery and the final checks */ };
 
 static uint64_t seconds;
 static uint64_t seed;
--- a/tests/unit/http_reader.c
+++ b/tests/unit/http_reader.c
@@ -96,7 +96,7 @@
 }
 END_TEST
 
-START_TEST(exceeded_limits_have_their_own_faults)
+START_TEST(exceeded_limits_have_their_own_errors)
 {
     struct buffer text = {0};
     buffer_append_text(&text, "GET / HTTP/1.1\r\nHost: h\r\nX: ");
@@ -205,7 +205,7 @@
 }
 END_TEST
 
-/* ---- JSON ------------------------------------------------------------------------- */
+/* ---- JSON and cookies ------------------------------------------------------------- */
 
 START_TEST(deeply_nested_json_is_rejected)
 {
@@ -265,7 +265,7 @@
     TCase *tests = tcase_create("messages");
     tcase_add_loop_test(tests, ambiguous_framing_is_malformed, 0, FRAMING_CASES);
     tcase_add_test(tests, fragmented_messages_are_reassembled);
-    tcase_add_test(tests, exceeded_limits_have_their_own_faults);
+    tcase_add_test(tests, exceeded_limits_have_their_own_errors);
     tcase_add_test(tests, response_body_may_end_with_the_connection);
     tcase_add_test(tests, incomplete_response_is_truncated);
     tcase_add_test(tests, invalid_responses_are_malformed);
--- a/tests/unit/peer_keepalive.c
+++ b/tests/unit/peer_keepalive.c
@@ -16,7 +16,7 @@
 enum {
     REQUEST_BYTES = 8 << 20, /* more than the socket buffers hold */
     RECEIVE_BUFFER_BYTES = 1 << 16,
-    UNREAD_MS = 3 * PEER_KEEPALIVE_TIMEOUT_MS,
+    RESPONSE_DELAY_MS = 3 * PEER_KEEPALIVE_TIMEOUT_MS, /* the server neither reads nor responds meanwhile */
     LIMIT_MS = 20000
 };
 
@@ -104,7 +104,7 @@
     struct upstream_exchange *exchange = upstream_start(&pool, &address, false, &events, &bytes);
     upstream_set_keepalive(exchange, true);
     int fd = accept(listener, NULL, NULL);
-    run_until(clock_monotonic_ms() + UNREAD_MS);
+    run_until(clock_monotonic_ms() + RESPONSE_DELAY_MS);
     ck_assert_msg(!ended, "the exchange with a live server ended with result %d", (int)last_result);
     if (bytes >= REQUEST_BYTES) {
         read_request_and_answer(fd);
