--- a/src/bench/turn.c
+++ b/src/bench/turn.c
@@ -169,6 +169,7 @@
         if (result == HTTP_TRANSFER_DONE && status == 200 && turn->done) {
             return true;
         }
+        /* 409, for example for a call still in progress, and 429 are retried. */
         bool permanent = status >= 400 && status < 500 && status != 429 && status != 409;
         if (permanent) {
             fprintf(stderr, "call %u of program %s was rejected with status %d: %s\n", turn->program->next_call,
--- a/src/net/http_reader.c
+++ b/src/net/http_reader.c
@@ -330,7 +330,7 @@
     return http_reader_find(reader, name) != NULL;
 }
 
-/* Whether a comma-separated list contains a name, in any case. */
+/* Whether a comma-separated list contains a name; ignores case. */
 static bool http_list_contains(struct view list, struct view name)
 {
     while (list.length > 0) {
--- a/src/net/upstream.h
+++ b/src/net/upstream.h
@@ -8,10 +8,10 @@
  * An idle connection is reused only if nothing arrived on it since its last
  * response, and is closed well before the server would close it.
  *
- * An exchange may wait for a connection that is being established, or for an idle
- * one if the server has `max_connections`. Its request is serialized only when one
- * is available, so that time values in it are correct and a request whose deadline
- * has passed is not sent.
+ * An exchange may wait until its connection is established, or, if its server has
+ * `max_connections` already, until one becomes idle or closes. Its request is
+ * serialized only when a connection is available, so that time values in it are
+ * correct and a request whose deadline has passed is not sent.
  */
 #ifndef BANKBANK_NET_UPSTREAM_H
 #define BANKBANK_NET_UPSTREAM_H
--- a/src/net/upstream_response.c
+++ b/src/net/upstream_response.c
@@ -55,7 +55,8 @@
     return true;
 }
 
-/* Makes the connection idle or closes it. */
+/* Ends the exchange as UPSTREAM_DONE. Its connection is made idle or closed first, so that `end` or a waiting exchange
+ * can use it. */
 static void upstream_complete(struct upstream_connection *connection, bool bytes_left)
 {
     struct upstream_pool *pool = connection->pool;
--- a/tests/soak/caller_connection.h
+++ b/tests/soak/caller_connection.h
@@ -18,8 +18,8 @@
 /** Connects, or reuses an idle open connection; false if the connection is refused. */
 bool caller_connection_open(caller_connection_t *connection, int gateway);
 
-/** Sends a request and reads the answer; the caller must close `response`. Closes the connection unless both sides
- * keep it alive. */
+/** Sends a request and reads the answer; the calling function closes `response`. Closes the connection unless both
+ * sides keep it alive. */
 void caller_connection_exchange(caller_connection_t *connection, struct view request, bool keep_alive,
                                 struct site_response *response);
 
--- a/tests/soak/calls.h
+++ b/tests/soak/calls.h
@@ -1,7 +1,7 @@
 /**
  * @file calls.h
- * Requests of a soak caller. Each carries a deadline. An incomplete answer that
- * ends before the deadline is a violation in two cases:
+ * Requests of a soak caller, a simulated client. Each carries a deadline. An
+ * incomplete answer that ends before the deadline is a violation in two cases:
  *
  *   unanswered  the connection closed without an answer, a server had started
  *               the request, and the gateway was not killed
@@ -55,7 +55,7 @@
 void calls_next_id(char *out, size_t size, const caller_t *caller, const char *prefix);
 
 /** Records a request in the oracle, sends it, reads its answer, and checks an incomplete one as described above. The
- * caller closes `response`. */
+ * calling function closes `response`. */
 void calls_send(caller_t *caller, const call_t *call, struct site_response *response);
 
 /** Send a request that must not be retried, one that may be, one for a resumable stream, and one for a route that a
