--- a/src/proxy/caller_headers.h
+++ b/src/proxy/caller_headers.h
@@ -2,7 +2,8 @@
  * @file caller_headers.h
  * Selects the headers of a caller's request that are forwarded to a server: the
  * same for every attempt, apart from CALLER_HEADERS_RESUMED. Unknown headers are
- * forwarded, since servers may define any. These are dropped, repeated ones too:
+ * forwarded, since servers may define any. These are dropped, in any letter case,
+ * and repeated ones too:
  * - hop-by-hop headers (RFC 9110, 7.6.1), including those that Connection names,
  * - dialect.system_headers: the caller's credentials, which only the gateway
  *   checks; headers that only the gateway sends to a server; and headers with
--- a/src/proxy/forward.h
+++ b/src/proxy/forward.h
@@ -2,7 +2,7 @@
  * @file forward.h
  * A caller's request and its response while the gateway forwards it to a server.
  *
- * WAITING (for the first configuration or server list of this process)
+ * WAITING (for the first configuration and server list of this process)
  *   -> PREPARING (takes a rate limit token; a turn also reserves output tokens and
  *      fetches its conversation)
  *   -> QUEUED (no server has capacity now: queue_policy.h)
@@ -21,8 +21,9 @@
 
 enum {
     FORWARD_MAX_PARALLEL = 2,     /**< Maximum concurrent attempts of one request. */
-    FORWARD_HEDGE_DELAY_MS = 150, /**< Minimum time without a response before a second server is tried. */
-    FORWARD_MAX_SENDS = 8,        /**< No retry after this many attempts unless only earlier ones may have run. */
+    FORWARD_HEDGE_DELAY_MS = 150, /**< Minimum time from routing to a second server, if no response is complete. */
+    FORWARD_MAX_SENDS = 8, /**< Attempts, refused ones included, after which there is no retry. Not enforced if the last
+                              attempt certainly did not run but an earlier one may have. */
     FORWARD_MAX_RESPONSE_BYTES = 8 << 20, /**< Maximum body of a response that is not streamed. */
     FORWARD_STATE_MAX_PERCENT = 40,       /**< Share of the time left that the state replicas may use. */
     FORWARD_STATE_TIMEOUT_MS = 1500,      /**< Upper limit of that time, for one reservation or fetch. */
@@ -143,7 +144,7 @@
 /** forward_resume.c: ends those attempts at an unreachable server that were not sent, or may be retried or resumed. */
 void forward_server_unreachable(struct frontend *frontend, const struct server *server);
 
-/** forward_resume.c: ends idle attempts at servers that have restarted. */
+/** forward_resume.c: ends the attempts at restarted servers that were not sent or are idle. */
 void forward_end_idle_after_restart(struct frontend *frontend);
 
 /** forward_queue.c. */
@@ -201,8 +202,8 @@
 /** forward.c: places the request once no rate limit token, reservation or conversation is outstanding. */
 void forward_continue(struct forward *forward);
 
-/** forward_quota.c: takes a token, unless the request may be the first of its program: only its reservation shows
- * whether it is, and so which kind of token it needs. */
+/** forward_quota.c: takes a token or waits for one, unless the request may be the first of its program: only its
+ * reservation shows whether it is, and so which kind of token it needs. */
 void forward_quota_begin(struct forward *forward);
 
 /** forward_quota.c: takes the token that forward_quota_begin() left; false: as forward_quota_take(). */
@@ -273,13 +274,16 @@
 /** forward_attempt.c: whether a server may have begun to run the request. */
 bool forward_was_sent(const struct forward *forward);
 
-/** forward_attempt.c: tries a second server if the request may run again and has no response yet. */
+/** forward_attempt.c: tries a second server if the request may run again, no response is complete and the retry budget
+ * allows it. */
 void forward_hedge(struct forward *forward);
 
-/** forward_attempt.c: ends an attempt that certainly did not run; then retries, queues or refuses the request. */
+/** forward_attempt.c: ends an attempt that certainly did not run; if no other one is left, retries, queues, refuses or
+ * fails the request. */
 void forward_attempt_not_run(struct forward_attempt *attempt, const char *reason);
 
-/** forward_attempt.c: ends an attempt that failed and may have run; then resumes, retries or fails the request. */
+/** forward_attempt.c: ends an attempt that failed and may have run; resumes its stream or, if no other attempt is left,
+ * retries or fails the request. */
 void forward_attempt_outcome_unknown(struct forward_attempt *attempt, const char *reason);
 
 /** forward_attempt.c: cancels the attempt's exchange, if any, and frees its slot. */
--- a/src/proxy/forward_attempt.c
+++ b/src/proxy/forward_attempt.c
@@ -181,7 +181,7 @@
     bool head_request = http_name_equal(forward->call->request->method, "HEAD");
     attempt->exchange =
         upstream_start(&frontend->node->upstreams, &address, head_request, &forward_upstream_events, attempt);
-    /* Detecting a silent machine helps only if the stream can be resumed. */
+    /* Only if the stream can be resumed: any other response may still arrive, however long the machine is silent. */
     upstream_set_keepalive(attempt->exchange, forward_is_resumable(forward));
 }
 
@@ -284,7 +284,8 @@
     }
 }
 
-/* Hedging: a request that may run twice is sent to a second server as well if the first is slow to respond. */
+/* Hedging: a request that may run twice is sent to a second server as well if the first is slow to respond, within the
+ * retry budget. */
 static bool forward_may_hedge(struct forward *forward)
 {
     return forward->route->kind == ROUTE_SAFE && !forward->hedged && forward->phase == FORWARD_RUNNING &&
--- a/src/proxy/histogram.h
+++ b/src/proxy/histogram.h
@@ -11,7 +11,7 @@
 
 enum { HISTOGRAM_BOUNDS = 12 /**< Number of finite upper bounds. */ };
 
-/** The last bucket counts the values above all bounds. */
+/** A bucket counts the values up to its bound and above the one before; the last one, those above all bounds. */
 struct histogram {
     uint64_t counts[HISTOGRAM_BOUNDS + 1];
     uint64_t sum_ms;
