--- a/src/proxy/frontend.h
+++ b/src/proxy/frontend.h
@@ -19,20 +19,20 @@
     FRONTEND_DEFAULT_CACHE_BYTES = 8 << 20, /**< Used if no memory budget is set. */
     FRONTEND_MAX_SERVER_CONNECTIONS = 24,   /**< Limit for each server. */
     FRONTEND_REVIEW_MS = 50,                /**< Interval of the server review and of the memory review. */
-    FRONTEND_WITHDRAWAL_MS = 1000 /**< Duration of a withdrawal after the last LoadTotals that called for it. */
+    FRONTEND_WITHDRAWAL_MS = 1000 /**< After the last LoadTotals that called for it, unless a later one ends it. */
 };
 
 struct frontend_counters {
     uint64_t requests; /**< With a route, a request id and, where required, a known key. */
     uint64_t completed;
-    uint64_t refused; /**< Requests refused as not run. */
+    uint64_t refused; /**< Requests answered with X-Run-State: not-run. */
     uint64_t unknown_route;
-    uint64_t failed;             /**< Requests failed before their response began. */
+    uint64_t failed;             /**< Requests answered with X-Run-State: unknown (502 or 504). */
     uint64_t aborted;            /**< Responses aborted after they began. */
     uint64_t caller_disconnects; /**< Before the response was complete. */
     uint64_t sends;              /**< Attempts at servers. */
-    uint64_t server_refusals;    /**< Attempts refused as not run by the server. */
-    uint64_t mismatched;         /**< Responses dropped because they carry another request's id. */
+    uint64_t server_refusals;    /**< Attempts that a server refused without running them. */
+    uint64_t mismatched;         /**< Responses dropped for another request's id, or successes without an id. */
     uint64_t key_refusals;       /**< Requests without a known API key. */
     uint64_t quota_refusals;     /**< Requests over the rate limit of their tenant. */
     uint64_t budget_refusals;    /**< Turns over the token budget of their program. */
@@ -54,7 +54,7 @@
     struct node *node;
     struct http_listener callers;
     struct route_table *table;       /**< Active configuration, or NULL. */
-    bool confirmed;                  /**< The held version is known not to be outdated (frontend_configuration.c). */
+    bool confirmed;                  /**< Since the start, the leader has confirmed a held version as the latest. */
     struct node_request *confirming; /**< Request in flight, or NULL. */
     uint64_t confirm_sent_ms;        /**< Of the last request. */
     uint64_t confirm_due_ms;         /**< Earliest time of the next request. */
@@ -97,7 +97,8 @@
 /** Ends all requests and frees the members; the caller frees `frontend` itself once the loop has closed its handles. */
 void frontend_close(struct frontend *frontend);
 
-/** frontend_configuration.c: activates the configuration in node->state if it is newer and confirmed. */
+/** frontend_configuration.c: activates the configuration in node->state if it is newer, the first one once it is
+ * confirmed. */
 void frontend_apply_configuration(struct frontend *frontend);
 
 /** frontend_configuration.c: asks the leader to confirm the first configuration, if that is due. */
@@ -136,7 +137,7 @@
 /** From now on responses close their connections. */
 void frontend_drain(struct frontend *frontend);
 
-/** Call after frontend_drain(). */
+/** Stops accepting connections and closes idle ones; call after frontend_drain(). */
 void frontend_stop_accepting(struct frontend *frontend);
 
 void frontend_tick(struct frontend *frontend);
--- a/src/proxy/frontend_memory.h
+++ b/src/proxy/frontend_memory.h
@@ -2,7 +2,8 @@
  * @file frontend_memory.h
  * Memory limits for a gateway's requests and cached turns
  * (core/memory_budget.h). The exact sum is taken every FRONTEND_REVIEW_MS and
- * before the first refusal; in between, ended requests still count. Bodies being
+ * before the first refusal. In between, a new request is added with its body,
+ * ended requests still count, and the growth of active ones does not. Bodies being
  * received are limited separately, by http_limits.max_receiving_bytes.
  */
 #ifndef BANKBANK_PROXY_FRONTEND_MEMORY_H
--- a/src/proxy/node_settings.h
+++ b/src/proxy/node_settings.h
@@ -40,7 +40,7 @@
     uint64_t refer_above;     /**< Number of watchers above which a replica refers them to relays (core/watch.h). */
     uint64_t list_period_ms;  /**< Fetch period of the machine list. */
     uint64_t grace_ms;        /**< Time limit of a graceful stop. */
-    uint64_t memory_mb;       /**< Memory limit of the process; 0: none. */
+    uint64_t memory_mb;       /**< Memory that the process may use (core/memory_budget.h); 0: fixed defaults. */
     uint64_t log_lines_per_s; /**< Limit for each kind of log line. */
     char *log_level;          /**< error, warn, info or debug. */
 };
--- a/src/proxy/state_host.h
+++ b/src/proxy/state_host.h
@@ -41,7 +41,7 @@
 struct state_host {
     struct node *node;
     struct identity identity;
-    bool running; /**< The replica is a group member; `replica`, `log` and `texts` are open. */
+    bool running; /**< It has joined a group, and may have been removed since; `replica`, `log`, `texts` are open. */
     struct replica replica;
     struct log_store log;       /**< Includes the snapshots. */
     struct history_store texts; /**< Texts of turns. */
@@ -64,7 +64,7 @@
     bool logged_full[STATE_HOST_MEMORY_KINDS];
 };
 
-/** Loads the replica's identity and, if it is a group member, its state. NULL: the disk failed. */
+/** Loads the replica's identity and, if it has joined a group, its state. NULL: the disk failed. */
 struct state_host *state_host_open(struct node *node);
 
 void state_host_peer_disconnected(struct state_host *host, uint32_t peer);
@@ -80,7 +80,7 @@
 /** Periodic work: joining, elections, heartbeats, logging. */
 void state_host_tick(struct state_host *host);
 
-/** Latest members in the log, committed or not; NULL: the replica is not a group member. */
+/** Latest members in the log, committed or not; NULL: the replica has not joined a group yet. */
 const struct raft_members *state_host_logged_members(const struct state_host *host);
 
 /** Called before each wait of the loop: syncs the log, sends what had to wait for the sync, and updates watchers. */
