--- a/src/proxy/node.h
+++ b/src/proxy/node.h
@@ -120,7 +120,7 @@
 
 bool node_send_frame(struct node *node, uint32_t to, const Frame *frame);
 
-/** Connects to the seeds, the known members and the relay, and closes connections to other addresses. */
+/** Connects to the seeds, the known members and the relay, and closes connections that it opened to other addresses. */
 void node_dial(struct node *node);
 
 /** Updates the watch and the request client after the set of connected replicas changed. */
@@ -138,7 +138,7 @@
 /** node_is_fresh() at a given time, such as node_real_now(). */
 bool node_is_fresh_at(const struct node *node, uint64_t now_ms);
 
-/** Time since the last watch reply from a replica in contact with a quorum, ms; 0 on a node with a replica. */
+/** Time since the last watch with a fresh reply (core/watch.h) was sent, ms; 0 on a node with a replica. */
 uint64_t node_state_age(const struct node *node);
 
 /** Whether no state replica, fresh or not, has sent this gateway anything for NODE_ISOLATED_MS. */
