--- a/src/core/health.h
+++ b/src/core/health.h
@@ -47,7 +47,7 @@
 /** Additional in-flight requests that a share counts as when servers are compared. */
 uint32_t health_penalty_requests(uint32_t share);
 
-/** Whether a share is above HEALTH_TOLERATED_SHARE. */
+/** Whether a share is above HEALTH_TOLERATED_SHARE: a program then leaves this server for one without such a share. */
 bool health_is_bad(uint32_t share);
 
 /**
--- a/src/core/ledger.h
+++ b/src/core/ledger.h
@@ -1,9 +1,9 @@
 /**
  * @file ledger.h
  * The programs of one partition (one group, see state_machine.h), their calls and
- * budgets: the state machine of a replicated log. Applying an entry decides whether
- * it is accepted, which serializes the calls of a program without locks in the
- * gateways.
+ * budgets: the state machine of a replicated log. Every change is one log entry,
+ * applied in the same order on all replicas. Applying it decides whether it is
+ * accepted, which serializes the calls of a program without locks in the gateways.
  *
  * A program is a sequence of calls to a model, each of which continues the stored
  * conversation; it may have sub-programs. An attempt is one execution of a call by
--- a/src/core/load_table.h
+++ b/src/core/load_table.h
@@ -5,8 +5,8 @@
  * all traffic. Soft state: a report replaces the gateway's previous one and
  * expires. No I/O; callers pass the time.
  *
- * The size of all totals grows with gateways times servers. The leader therefore
- * limits the reports and the totals per second, evenly over the gateways.
+ * The work of sending all totals grows with gateways times servers. The leader
+ * therefore limits the reports and the totals per second, evenly over the gateways.
  */
 #ifndef BANKBANK_CORE_LOAD_TABLE_H
 #define BANKBANK_CORE_LOAD_TABLE_H
@@ -19,11 +19,11 @@
 #include "control.pb.h"
 
 enum {
-    LOAD_MIN_REPORT_MS = 100, /**< Minimum interval for one gateway. */
+    LOAD_MIN_REPORT_MS = 100, /**< Minimum interval between the reports of one gateway. */
     LOAD_REPORTS_PER_S = 500, /**< Maximum, from all gateways together. */
     LOAD_TOTALS_PER_S = 250,  /**< Maximum number of messages, to all gateways together. */
     LOAD_MIN_VALID_MS = 600,  /**< Minimum lifetime of a report. */
-    LOAD_VALID_PERIODS = 3    /**< Lifetime of reports and totals in intervals between them, if that is longer. */
+    LOAD_VALID_PERIODS = 3    /**< Reports and totals are valid for this many of their intervals, if that is longer. */
 };
 
 /** Totals of one server over all gateways. */
--- a/src/core/queue_policy.h
+++ b/src/core/queue_policy.h
@@ -3,6 +3,9 @@
  * Whether a request that no server accepts is queued or refused, and the order
  * of the queue. Pure functions.
  *
+ * Requests are queued because slots become free within moments, while callers
+ * retry only a few times.
+ *
  * The queue is ordered by priority of the tenant, priority of the route and
  * earliest deadline (Liu and Layland, "Scheduling algorithms for
  * multiprogramming", 1973). A request waits for at most a part of the time that
--- a/src/core/reach.h
+++ b/src/core/reach.h
@@ -36,9 +36,9 @@
     REACH_MEAN_DIVISOR = 8,       /**< The weight of a new response time in the mean is 1 / this. */
     REACH_DEVIATION_DIVISOR = 4,  /**< The weight of a new response time in the mean deviation is 1 / this. */
     REACH_DEVIATION_FACTOR = 4,   /**< Tolerated silence: the mean plus this many mean deviations. */
-    REACH_RETRY_MS = 200,         /**< Interval between probes of a confirmed server. */
+    REACH_RETRY_MS = 200,         /**< Interval between probes of a server that is confirmed unreachable. */
     REACH_UNREACHABLE_PROBES = 2, /**< Consecutive failed probes that make a server unreachable. */
-    REACH_CONFIRMED_PROBES = 4,   /**< The same for confirmed; moderate packet loss rarely causes this many. */
+    REACH_CONFIRMED_PROBES = 4,   /**< The same to confirm this; moderate packet loss rarely causes this many. */
     REACH_BACKOFF_MAX = 5         /**< Maximum number of doublings of the tolerated silence. */
 };
 
--- a/src/core/resume.h
+++ b/src/core/resume.h
@@ -2,13 +2,14 @@
  * @file resume.h
  * Decides where an interrupted stream is resumed. A pure function.
  *
- * A stream is resumed after the last event that was forwarded to the caller. The
- * same server is tried first: it has the prompt cached and does not count as
- * another server. If it has ended, is leaving or is dead, its run of the stream
- * has ended or ends soon, and another server is used. In a drained zone the run
- * may continue: another server is used if the route allows one, and otherwise the
- * stream ends. If no other server is allowed and this one is full, the stream
- * waits like a queued request (queue_policy.h) and ends if the server stays full.
+ * A stream is resumed after the last event that was forwarded to the caller, by
+ * the id of that event. The same server is tried first: it has the prompt cached
+ * and does not count as another server. If it has ended, is leaving or is dead, its
+ * run of the stream has ended or ends soon, and another server is used. In a
+ * drained zone the run may continue: another server is used if the route allows
+ * one, and otherwise the stream ends. If no other server is allowed and this one is
+ * full, the stream waits like a queued request (queue_policy.h) and ends if the
+ * server stays full.
  *
  * A stream is not interrupted merely because its server accepts no new
  * connections: its own connection shows whether the server is dead (reach.h).
--- a/src/core/retry.h
+++ b/src/core/retry.h
@@ -16,7 +16,7 @@
     RETRY_BACKOFF_BASE_MS = 10,
     RETRY_BACKOFF_MAX_MS = 1000,
     CIRCUIT_FAILURES = 5,   /**< Consecutive failures that open the circuit. */
-    CIRCUIT_OPEN_MS = 1000, /**< After the first opening; doubles with each consecutive one. */
+    CIRCUIT_OPEN_MS = 1000, /**< Time open after the first opening; doubles with each consecutive one. */
     CIRCUIT_OPEN_MAX_MS = 30000
 };
 
--- a/src/core/server_entries.h
+++ b/src/core/server_entries.h
@@ -9,7 +9,7 @@
  *
  * Entries with the same address and different ids are all used: a server that has
  * ended stays on the list for a while next to the one that reuses its address. A
- * server refuses requests that are meant for another id.
+ * server refuses requests that are meant for another id without running them.
  */
 #ifndef BANKBANK_CORE_SERVER_ENTRIES_H
 #define BANKBANK_CORE_SERVER_ENTRIES_H
@@ -39,7 +39,7 @@
 
 uint64_t server_entries_skipped_total(const server_entries_skipped_t *skipped);
 
-/** Label of a fault in metrics and the log. */
+/** Name of a fault: its field in the log event `servers_left_out`. */
 const char *server_entry_fault_name(server_entry_fault_t fault);
 
 #endif
--- a/src/core/server_table.h
+++ b/src/core/server_table.h
@@ -20,10 +20,10 @@
  * address, even if a stale list still contains it.
  *
  * If its service configures a start rate (slow_start.h), a server that has just
- * started gets a request only with a token, and counts as having additional
- * requests in all of its slots. Lists report a start with a delay. A server that
- * becomes reachable again, or whose zone is opened again, therefore counts as just
- * started for SERVER_RETURNED_MS.
+ * started gets a request only with a token, and as many requests as it has slots
+ * are added to its load, so that other servers are preferred. Lists report a start
+ * with a delay. A server that becomes reachable again, or whose zone is opened
+ * again, therefore counts as just started for SERVER_RETURNED_MS.
  *
  * Home: the server that has a program's conversation cached. A program leaves it
  * only when queueing there costs more than processing the conversation again
@@ -50,7 +50,7 @@
 #include "core/route_table.h"
 #include "core/zone_set.h"
 
-/* Constants named ..._REQUESTS are costs, in units of in-flight requests. */
+/* Constants named ..._REQUESTS are numbers of in-flight requests. A cost counts as that many additional ones. */
 enum {
     SERVER_REGION_RULES = 2,     /**< Per request: one of its route and one of its tenant. */
     SERVER_MAX_TRIED = 8,        /**< Tried servers that are remembered per request. */
--- a/src/core/turn_rank.h
+++ b/src/core/turn_rank.h
@@ -5,8 +5,9 @@
  * A program that misses its deadline at a late turn wastes its earlier turns.
  * Under overload, turns of running programs are therefore served before first
  * turns and before requests without a rank, so that programs are delayed before
- * they have used any resources (like Zhou et al., "Overload Control for Scaling
- * WeChat Microservices", 2018). A rank never causes a refusal.
+ * they have used any resources (Zhou et al., "Overload Control for Scaling WeChat
+ * Microservices", 2018, for one priority of all calls of a task). A rank never
+ * causes a refusal.
  *
  * Ranks are only used at busy servers. A server that runs out of memory preempts
  * the least urgent turns even without a queue, and the prompts of preempted first
