--- a/src/base/findings.h
+++ b/src/base/findings.h
@@ -9,7 +9,7 @@
 
 struct finding {
     char *location; /**< Such as "settings.yaml:12: groups". */
-    char *text;
+    char *text;     /**< What is wrong and what was expected. */
 };
 
 /** All zero is a valid empty list. */
--- a/src/daemon/gateway.h
+++ b/src/daemon/gateway.h
@@ -23,7 +23,7 @@
     GATEWAY_CONTROL_TIMEOUT_MS = 5000, /**< Of a request to the state replicas. */
     GATEWAY_ASYNC_TIMEOUT_MS = 60000,  /**< How long gateway_propose_async() retries an entry. */
     GATEWAY_MAX_TENANTS = 1024,        /**< Not used. */
-    GATEWAY_ID_LENGTH = 48             /**< Longest generated id of a program without a parent. */
+    GATEWAY_ID_LENGTH = 48             /**< Upper limit for generated ids of programs without a parent. */
 };
 
 /** Usage at this daemon only. */
--- a/src/net/dial_backoff.h
+++ b/src/net/dial_backoff.h
@@ -1,6 +1,6 @@
 /**
  * @file dial_backoff.h
- * Exponential backoff and connect timeout for dialling a peer.
+ * Exponential backoff and connect timeout for dialling a peer. Does no I/O and reads no clock.
  *
  * A closed port refuses immediately, so the delay between attempts doubles.
  * An unreachable machine does not answer, and the kernel retransmits a SYN only
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -16,7 +16,7 @@
 enum http_transfer_result {
     HTTP_TRANSFER_DONE,     /**< A complete response was received. */
     HTTP_TRANSFER_NOT_SENT, /**< No connection was established: the request was not executed. */
-    HTTP_TRANSFER_BROKEN,   /**< The connection failed: the request may have been executed. */
+    HTTP_TRANSFER_BROKEN,   /**< Failed otherwise, without a complete response: the request may have been executed. */
     HTTP_TRANSFER_TIMEOUT,  /**< The timeout expired: the request may have been executed. */
     HTTP_TRANSFER_STOPPED   /**< `on_data` returned false. */
 };
--- a/src/net/http_connection.h
+++ b/src/net/http_connection.h
@@ -24,7 +24,7 @@
     struct http_reader reader;
     struct http_call call;
     struct buffer input;       /**< Received bytes not parsed yet; may hold pipelined requests. */
-    uint64_t state_since_ms;   /**< Start of the current idle period, request or linger. */
+    uint64_t state_since_ms;   /**< Start of the idle period, request or linger, or last change of `unsent`. */
     uint64_t received_ms;      /**< Loop time at which the first bytes of this or the next request arrived. */
     uint64_t last_received_ms; /**< Loop time at which the latest bytes arrived. */
     uint64_t unread_since_ms; /**< Loop time since which the socket was not read; 0: listener->previous_iteration_ms. */
--- a/src/net/http_listener.c
+++ b/src/net/http_listener.c
@@ -15,9 +15,9 @@
     HTTP_LISTENER_READ_BYTES = 1 << 16,
     HTTP_LISTENER_UNAVAILABLE = 503,
     HTTP_LISTENER_LINGER_MS = 1000,             /* time for the client to close after the last response */
-    HTTP_LISTENER_RECEIVE_SLACK_MS = 100,       /* bytes queued for at most this long count as received now */
+    HTTP_LISTENER_RECEIVE_SLACK_MS = 100,       /* bytes that cannot have been queued longer count as received now */
     HTTP_LISTENER_WRITE_TIMEOUT_MS = 15000,     /* longest time for which a client may accept no byte of its response */
-    HTTP_LISTENER_MAX_PIPELINED_BYTES = 1 << 16 /* bytes read ahead while a request is being answered */
+    HTTP_LISTENER_MAX_PIPELINED_BYTES = 1 << 16 /* reading pauses above this while a request is being answered */
 };
 
 static char http_read_buffer[HTTP_LISTENER_READ_BYTES];
--- a/src/net/json_entries.h
+++ b/src/net/json_entries.h
@@ -3,7 +3,7 @@
  * Reads the entries of a JSON list of which some may be malformed. Entries are
  * delimited by brackets and commas and parsed separately, so that a malformed
  * one does not affect the others. If the end of a malformed entry cannot be
- * determined, it ends at the next valid object after a comma.
+ * determined, it ends at the next valid object after a comma. Does no I/O.
  */
 #ifndef BANKBANK_NET_JSON_ENTRIES_H
 #define BANKBANK_NET_JSON_ENTRIES_H
--- a/src/net/json_input.h
+++ b/src/net/json_input.h
@@ -1,8 +1,8 @@
 /**
  * @file json_input.h
- * Parses JSON from untrusted sources. Deep nesting is rejected before parsing:
- * jansson recurses up to 2,048 levels, which overflows the stack of a server
- * thread.
+ * Parses JSON; all JSON from untrusted sources must be parsed here. Deep nesting
+ * is rejected before parsing: jansson recurses up to 2,048 levels, which overflows
+ * the stack of a server thread.
  */
 #ifndef BANKBANK_NET_JSON_INPUT_H
 #define BANKBANK_NET_JSON_INPUT_H
--- a/src/net/links.h
+++ b/src/net/links.h
@@ -29,12 +29,12 @@
 enum {
     LINKS_VERSION = 1,       /**< Protocol version. */
     LINKS_FEATURE_LEVEL = 1, /**< Highest level of log entries that this version can apply; 1 adds drained zones. */
-    LINKS_MAX_FRAME_BYTES = 64 << 20,
+    LINKS_MAX_FRAME_BYTES = 64 << 20,     /**< Of a received frame. */
     LINKS_MAX_QUEUED_BYTES = 64 << 20,    /**< Default of links_config.max_queued_bytes. */
     LINKS_KEEP_CAPACITY_BYTES = 32 << 10, /**< Buffers up to this capacity are never freed for being unused. */
     LINKS_SHRINK_MS = 1000,               /**< Interval of checks that free larger, mostly unused buffers. */
-    LINKS_MAX_REPLICAS = 256,             /**< Array size for links_list_replicas(). */
-    LINKS_ACK_TIMEOUT_MS = 2000 /**< TCP_USER_TIMEOUT: unacknowledged for this long, bytes end a connection. */
+    LINKS_MAX_REPLICAS = 256,             /**< Array size for links_list_replicas(), which includes non-members. */
+    LINKS_ACK_TIMEOUT_MS = 2000 /**< TCP_USER_TIMEOUT: closes a connection whose bytes stay unacknowledged this long. */
 };
 
 struct links_handler {
