--- a/src/core/control_client.h
+++ b/src/core/control_client.h
@@ -7,7 +7,9 @@
  *
  * A request may be sent repeatedly: log entries are idempotent by attempt,
  * request or boot id. Without a reply by its deadline, a request completes with
- * RESULT_TIMEOUT if it may have been received, else with RESULT_UNAVAILABLE.
+ * RESULT_TIMEOUT if it may have been received, else with RESULT_UNAVAILABLE: it
+ * was certainly not proposed. Requests of control_client_submit_to_replica(),
+ * which are reads, get the latter in both cases.
  */
 #ifndef BANKBANK_CORE_CONTROL_CLIENT_H
 #define BANKBANK_CORE_CONTROL_CLIENT_H
--- a/src/core/raft.h
+++ b/src/core/raft.h
@@ -29,9 +29,9 @@
     RAFT_MAX_MEMBERS = 16,             /**< Voters and learners of one group. */
     RAFT_NAME_MAX = 48,                /**< Bytes of a member's machine name, NUL included. */
     RAFT_ZONE_MAX = 32,                /**< Bytes of a member's zone, NUL included. */
-    RAFT_MAX_INFLIGHT_ENTRIES = 512,   /**< Unacknowledged, per follower. */
+    RAFT_MAX_INFLIGHT_ENTRIES = 512,   /**< Unacknowledged entries at which sending stops, per follower. */
     RAFT_MAX_INFLIGHT_BYTES = 1 << 20, /**< Unacknowledged entry payload at which sending stops, per follower. */
-    RAFT_MAX_BATCH_BYTES = 256 << 10,  /**< Entry payload in one append message. */
+    RAFT_MAX_BATCH_BYTES = 256 << 10,  /**< Entry payload in one append message; a larger entry is sent alone. */
     RAFT_ENTRY_OVERHEAD_BYTES = 64,    /**< Estimated memory of an entry besides its payload. */
     RAFT_SNAPSHOT_CHUNK_BYTES = 256 << 10,
     RAFT_NO_NODE = 0 /**< Node ids start at 1. */
@@ -308,8 +308,9 @@
 /**
  * Whether this replica has applied everything that was committed one election timeout ago. True for a leader that has
  * committed an entry of its own term and has an active quorum, and for a follower that had applied such a leader's
- * commit index within the last election timeout. Messages count from the time they are read, so a process that stalled
- * may mistake old messages for new ones; for linearizability use raft_read().
+ * commit index within the last election timeout; false for one that has just started, lags, or is being sent a
+ * snapshot. Messages count from the time they are read, so a process that stalled may mistake old messages for new
+ * ones; for linearizability use raft_read().
  */
 bool raft_is_fresh(const struct raft *raft, uint64_t now_ms);
 
--- a/src/core/replica.h
+++ b/src/core/replica.h
@@ -25,7 +25,7 @@
     REPLICA_LEADER_PLACEMENT_MS = 2000,    /**< Period of leader placement checks. */
     REPLICA_SYNC_RETRY_MS = 50,            /**< Delay after REPLICA_SYNC_BLOCKED. */
     REPLICA_EXPIRE_BATCH = 256,            /**< Maximum number of programs expired by one log entry. */
-    REPLICA_KEPT_BUFFER_BYTES = 256 << 10, /**< Capacity to which `pending_frames` shrinks once sent. */
+    REPLICA_KEPT_BUFFER_BYTES = 256 << 10, /**< Capacity above which `pending_frames` is freed once sent. */
     REPLICA_MAX_JOINS = 128 /**< Join requests kept, even if the group has no room; the oldest is replaced. */
 };
 
--- a/src/core/replica_maintenance.c
+++ b/src/core/replica_maintenance.c
@@ -10,7 +10,7 @@
 
 /* ---- Leases -------------------------------------------------------------------- */
 
-/* A new leader has received no heartbeats yet, so it grants every lease a full period. */
+/* A new leader has received no heartbeats yet, so it treats every lease as just renewed. */
 void replica_renew_all_leases(struct replica *replica)
 {
     struct lease *lease = replica_config_group(replica)->machine.leases.leases;
--- a/src/core/replica_site.c
+++ b/src/core/replica_site.c
@@ -215,7 +215,8 @@
 }
 
 /* Refuses a proposal at a memory limit; false: refused. A turn that begins is refused at a lower limit and with
- * RESULT_LIMIT, which its caller gets at once. Other proposals finish work in progress: their senders retry. */
+ * RESULT_LIMIT, which its caller gets at once, since nothing has run yet. Other proposals finish work in progress:
+ * their senders retry. */
 static bool replica_check_memory(struct replica *replica, uint32_t group, const Request *request,
                                  const struct replica_waiter *waiter)
 {
--- a/src/core/watch.h
+++ b/src/core/watch.h
@@ -5,10 +5,11 @@
  * each and pushes changes in between. Both sides are state machines without I/O.
  *
  * A watcher accepts only newer values than its own. Every update reports whether
- * the replica is in recent contact with a quorum (`fresh`); if it is not, the
- * watcher switches to another replica. The configuration and drained zones are
- * sent by, and accepted from, fresh replicas only: one that has just started or
- * lags may unknowingly hold an older version than the latest acknowledged one.
+ * the replica is `fresh`: in recent contact with a quorum, and not lagging (see
+ * raft_is_fresh()). If it is not, the watcher switches to another replica. The
+ * configuration and drained zones are sent by, and accepted from, fresh replicas
+ * only: one that has just started or lags may unknowingly hold an older version
+ * than the latest acknowledged one.
  *
  * The cost of a change at a group member grows with the number of its watchers.
  * Replicas outside the group therefore act as relays: they watch a member and
@@ -89,7 +90,7 @@
     struct watch_candidate candidates[RAFT_MAX_MEMBERS]; /**< Connected replicas. */
     uint32_t candidate_count;
     uint32_t target;              /**< Watched replica, or RAFT_NO_NODE. */
-    uint32_t previous_target;     /**< Last replica that failed to give a fresh reply; skipped in the next choice. */
+    uint32_t previous_target;     /**< Last replica that failed to give a fresh reply; skipped by the round robin. */
     uint64_t same_zone_tried_ms;  /**< Last time a replica in the watcher's zone was chosen; 0: never. */
     uint32_t rotation;            /**< Round-robin position in `candidates`. */
     uint64_t sequence;            /**< Of the last watch. */
@@ -119,7 +120,7 @@
 /** Returns a connected group member, preferably in the watcher's zone, or RAFT_NO_NODE. */
 uint32_t watch_client_choose_member(const struct watch_client *client);
 
-/** Whether a replica in contact with a quorum replied to a watch sent within the last `limit_ms`. */
+/** Whether a replica is known to have been fresh within the last `limit_ms`; see watch_client.fresh_ms. */
 bool watch_client_is_fresh(const struct watch_client *client, uint64_t now_ms, uint64_t limit_ms);
 
 /** A watcher, as a replica records it. The versions are those sent to it or reported by its last watch. */
@@ -158,7 +159,7 @@
 uint32_t watch_server_count(const struct watch_server *server, uint64_t now_ms);
 
 /** Whether there is a value to send to a watcher now: its entry is not expired, it lacks a value of `state`, and
- * neither pacing nor a referral holds that value back. `fresh`: this replica is in contact with a quorum. */
+ * neither pacing nor a referral holds that value back. `fresh`: whether this replica is fresh. */
 bool watch_server_has_update(const struct watch_server *server, const struct watch_entry *entry, uint64_t now_ms,
                              const struct watch_state *state, bool fresh);
 
