--- a/src/bench/bench.h
+++ b/src/bench/bench.h
@@ -54,7 +54,7 @@
     struct samples first_token; /**< Time to the first token of a turn, ms. */
     struct samples inter_token; /**< Time between two tokens, ms. */
     struct samples turn;        /**< Duration of a turn with its retries, ms. */
-    struct samples program;     /**< Duration of a program without its tool pauses, ms. */
+    struct samples program;     /**< Time that a program and its sub-programs spent in turns, ms. */
     uint64_t programs_finished;
     uint64_t programs_failed;
     uint64_t turns;             /**< Turns answered. */
@@ -99,7 +99,7 @@
     uint64_t conversation_hash; /**< See answer_extend_hash(). */
     uint64_t context_tokens;    /**< Tokens of prompt and answer of the last turn. */
     struct buffer history;      /**< JSON messages so far, comma-separated; only for direct calls. */
-    double turn_time_ms;        /**< Time spent in turns, without tool pauses. */
+    double turn_time_ms;        /**< Time spent in turns, including those of sub-programs. */
 };
 
 /** Runs one turn; false if it failed or its answer was wrong, and the program must be aborted. */
--- a/src/ctl/client.c
+++ b/src/ctl/client.c
@@ -9,7 +9,7 @@
 #include "net/json_input.h"
 
 enum {
-    CTL_TIMEOUT_MS = 70000, /* longer than any default timeout of the daemon (60 s) */
+    CTL_TIMEOUT_MS = 70000, /* longer than the default timeouts of the operator methods (at most 60 s) */
     CTL_CONNECT_TIMEOUT_MS = 3000,
     CTL_STATUS_OK = 200
 };
--- a/src/emulator/engine.h
+++ b/src/emulator/engine.h
@@ -17,7 +17,7 @@
 /** In the order of the names in control_parse_fault(). */
 enum engine_fault {
     ENGINE_FAULT_NONE,
-    ENGINE_FAULT_DIE,          /**< Closes every connection at once. */
+    ENGINE_FAULT_DIE,          /**< Closes the connection of each new request without an answer. */
     ENGINE_FAULT_HANG,         /**< Accepts requests but does not answer. */
     ENGINE_FAULT_SLOW,         /**< Steps take `amount` times as long. */
     ENGINE_FAULT_TRUNCATE,     /**< Truncates the answer after `amount` tokens. */
@@ -89,7 +89,7 @@
 /** Returns the fault of the next request, sets `amount` to its parameter, and counts the request against the limit. */
 enum engine_fault engine_consume_fault(struct engine *engine, uint64_t *amount);
 
-/** Sets the fault of the next `count` requests; of all further ones if `count` is 0. */
+/** Sets the fault of the next `count` requests; of all further ones if `count` is 0 or for ENGINE_FAULT_DIE. */
 void engine_set_fault(struct engine *engine, enum engine_fault fault, uint64_t amount, uint64_t count);
 
 #endif
--- a/src/sim/sim.h
+++ b/src/sim/sim.h
@@ -1,9 +1,10 @@
 /**
  * @file sim.h
- * Deterministic simulation of a fleet in one process. State replicas and the
- * control clients of gateways run with a virtual clock, a simulated network with
- * seeded faults, and storage that may lose unsynced writes. An oracle checks the
- * Raft invariants and the responses to simulated callers and operators.
+ * Deterministic simulation of a fleet in one process. The daemon's own code for
+ * state replicas and gateways' control clients runs with a virtual clock, a
+ * simulated network with seeded faults, and storage that may lose unsynced
+ * writes. An oracle checks the Raft invariants and the responses to simulated
+ * callers and operators.
  */
 #ifndef BANKBANK_SIM_SIM_H
 #define BANKBANK_SIM_SIM_H
--- a/tests/soak/routes.h
+++ b/tests/soak/routes.h
@@ -11,8 +11,8 @@
  *   404 is wrong for a route that was acknowledged ROUTES_APPLY_MS ago and is
  *   still in the newest version sent, unless the gateway's process was paused
  *   meanwhile. An outdated gateway, even one just started, must answer 503.
- *   404 is always wrong for a route that the newest version sent contains, if
- *   the same process has served a route of that version or of a later one.
+ *   404 is always wrong for the route /vM/ while the newest version sent contains
+ *   it, if the same process has served the route of version M or of a later one.
  *   200 is wrong for a route dropped by a version acknowledged ROUTES_APPLY_MS
  *   ago, if for ROUTES_RECOVERY_MS this gateway had no fault and the state
  *   replicas had none but the graceful stop of one. Otherwise the gateway may be
@@ -30,7 +30,7 @@
     ROUTES_KEPT = 40,          /**< Number of versions that contain a route. */
     ROUTES_APPLY_MS = 2500,    /**< Time until an acknowledged version is in force at all gateways. */
     ROUTES_RECOVERY_MS = 4500, /**< Time after a fault until gateways are connected again. */
-    ROUTES_RECENT = 3,         /**< Requests pick one of this many newest versions. */
+    ROUTES_RECENT = 3,         /**< Requests pick among this many newest versions in force, or as many dropped last. */
     ROUTES_MAX_VERSION = 1 << 16
 };
 
