--- a/tests/fuzz/fuzz_entries.c
+++ b/tests/fuzz/fuzz_entries.c
@@ -27,7 +27,7 @@
     }
 }
 
-/* Whether the bad entry closes the list and opens another one: the page may then be valid with fewer entries. */
+/* Whether the bad entry may close the list and open another one: the page may then be valid with fewer entries. */
 static bool closes_and_reopens_list(struct view entry)
 {
     const uint8_t *closing = entry.length == 0 ? NULL : memchr(entry.data, ']', entry.length);
--- a/tests/scripted/run_election.c
+++ b/tests/scripted/run_election.c
@@ -1,6 +1,6 @@
 /* Runs a Raft group without disks on a simulated network with a latency of STEP_MS. Commands:
  *   new COUNT               starts a group
- *   elect MS                runs until a running replica leads, at most MS; prints the time, rounded up to 100 ms
+ *   elect MS                runs until a running replica leads, at most MS; prints an upper bound in steps of 100 ms
  *   run MS                  advances the time
  *   kill NODE               stops a replica and closes its connections
  *   power-off NODE          stops a replica without closing its connections
--- a/tests/scripted/run_zones.c
+++ b/tests/scripted/run_zones.c
@@ -5,8 +5,8 @@
  *                                 a quorum; `old`: from a replica of an earlier version; prints the drained zones
  *   restart                       the gateway loses its state
  *   servers ID/ZONE[!]...         sets the list of servers; ! if one is leaving
- *   choose                        chooses servers for eight concurrent requests; prints their zones, then `all`, or
- *                                 `none` if a request got no server
+ *   choose                        chooses servers for eight concurrent requests; prints which of z1 and z2 they are in,
+ *                                 then `all`, or `none` if a request got no server there
  *   allow [REGION...] [tenant REGION...]
  *                                 sets the allowed regions of the route and of the tenant
  *   excluded                      prints whether drained zones and regions exclude all servers
--- a/tests/unit/peer_keepalive.c
+++ b/tests/unit/peer_keepalive.c
@@ -1,6 +1,6 @@
 /*
  * Guards against the keepalive ending an exchange with a slow server, in particular against TCP_USER_TIMEOUT closing
- * the connection while a long request is unread and the receive window is zero.
+ * the connection while a long request is unread and the receive window is zero, although the server's kernel answers.
  */
 #include <arpa/inet.h>
 #include <string.h>
--- a/tests/unit/power_loss.c
+++ b/tests/unit/power_loss.c
@@ -38,7 +38,7 @@
 static bool kill_at_directory_sync; /* the process ends in its next sync of a directory */
 static bool fail_next_sync;         /* the next sync fails with EIO, once */
 static int syncs_until_kill;        /* successful syncs until the process ends in the next one; -1: no limit */
-static int kill_error;              /* errno of a sync after the process has ended */
+static int kill_error;              /* errno of the sync in which the process ends, and of later ones */
 static char root[64];
 static char data_directory[96];
 
