--- a/tests/clients/clients.mjs
+++ b/tests/clients/clients.mjs
@@ -90,6 +90,7 @@
   assert.equal(conflict.status, 409);
 }
 
+// First, as it creates the pool and the policy that testCallers() uses.
 await testOperators();
 await testCallers();
 console.log("100%: public clients passed");
--- a/tests/integration/fleet.h
+++ b/tests/integration/fleet.h
@@ -92,8 +92,8 @@
 /** Expects the program's stored history to be `answers` requests, each followed by the correct answer. */
 void fleet_expect_history(const struct fleet *fleet, uint32_t node, const char *program, uint64_t answers);
 
-/** Sets a fault, with its parameter `amount` (emulator/engine.h), at the first `engines` engines for `count` requests;
- * `count` 0: until the next change. */
+/** Sets a fault, with its parameter `amount` (emulator/engine.h), at the first `engines` engines for `count` requests
+ * each; `count` 0: until the next change. */
 void fleet_set_fault_at(const struct fleet *fleet, int engines, const char *fault, int amount, int count);
 
 /** Like fleet_set_fault_at(), for every engine. */
--- a/tests/integration/proxy.h
+++ b/tests/integration/proxy.h
@@ -6,7 +6,7 @@
 #ifndef BANKBANK_TESTS_PROXY_H
 #define BANKBANK_TESTS_PROXY_H
 
-/** Also applies to open connections. */
+/** What a proxy does; a change of the mode also applies to open connections. */
 enum proxy_mode {
     PROXY_PASS,
     PROXY_DELAY, /**< Delays each chunk by PROXY_DELAY_US. */
--- a/tests/integration/site.h
+++ b/tests/integration/site.h
@@ -40,7 +40,7 @@
     SITE_UNSIGNED,       /**< Success without a signature. */
     SITE_ENCODED,        /**< Response with Content-Encoding: gzip. */
     SITE_TRAILING_BYTES, /**< Complete response followed by further bytes. */
-    SITE_SILENT,         /**< Runs the request and never responds. */
+    SITE_SILENT,         /**< Runs the request; does not respond within SITE_TIMEOUT_MS. */
     SITE_SLOW,           /**< Responds after a second. */
     SITE_LONG,           /**< Streams SITE_LONG_EVENTS events of more than a KiB each. */
     SITE_ABORT_UNREAD,   /**< Like SITE_LONG; resets a stream that stays unread, unless it was resumed. */
@@ -121,7 +121,8 @@
 /** Longest time that received bytes of a request waited unread in this process, in the last few seconds. */
 uint64_t site_read_delay_ms(void);
 
-/** Makes servers respond with the request's id as the body, and call `run` for each request, from several threads. */
+/** Makes servers respond with the request's id as the text, and call `run`, from several threads, for each request that
+ * they run. */
 void site_echo_ids(void (*run)(const site_run_t *run));
 
 /** Puts a proxy in front of each server, from the next fetch of the machine list on. */
@@ -192,7 +193,8 @@
 
 enum { SITE_TURN_BYTES = 60 * 1024 /**< Below max-body-bytes, 64 KiB. */ };
 
-/** Runs a turn of SITE_TURN_BYTES in program p-NUMBER, to make the replicas' logs grow; retries until it is served. */
+/** Runs a turn of SITE_TURN_BYTES in program p-NUMBER, to make the replicas' logs grow; retries until it is
+ * served, as it may be refused while the replicas' disks are slow. */
 void site_large_turn(int gateway, int number);
 
 /** Returns the status; 0: no response. The response body is appended to `response_body`, unless that is NULL. */
--- a/tests/integration/test_deadlines.c
+++ b/tests/integration/test_deadlines.c
@@ -20,14 +20,14 @@
     GATEWAY = SITE_REPLICAS,   /* daemon of gateway 0 */
     CALLER_TIMEOUT_MS = 2900,  /* routes allow 3,000 ms */
     TOLERANCE_MS = 300,        /* allowed excess of the timeout sent to a server */
-    BODY_BYTES = 40 << 10,     /* more than one read() returns */
+    BODY_BYTES = 40 << 10,     /* below max-body-bytes, 64 KiB */
     POOL_CONNECTIONS = 48,     /* most connections of a gateway to the two servers of a service */
     SLOW_SERVER_MS = 1000,     /* response time in mode SITE_SLOW */
     FIRST_PLAIN_SERVER = 2,    /* first server of the routes /safe/ and /once/ */
     SHORT_TIMEOUT_MS = 600,    /* timeout of callers that expire during a test */
     IDLE_CONNECTION_MS = 4500, /* after which a gateway has closed idle connections to servers */
     HEADER_TIMEOUT_MS = 1000,  /* header-timeout-ms, for a complete request */
-    READ_MS = 100              /* for the gateway to read what was sent */
+    READ_MS = 100              /* for the gateway or a server to read what was sent to it */
 };
 
 typedef struct test_request_t {
--- a/tests/integration/test_slow_disk.c
+++ b/tests/integration/test_slow_disk.c
@@ -2,8 +2,8 @@
  * Replicas that wait for their disks. A replica does nothing else during a sync, so the tests suspend it with SIGSTOP,
  * which has the same effect on the other replicas and the callers.
  *
- * Guards against refusals while one of three replicas waits, and against 503 for an operator's call with an unknown
- * outcome: 503 means "not executed", but the entry is in the leader's log and may still be committed.
+ * Guards against refusals while one of three replicas waits (503 is correct if all wait), and against 503 for an
+ * operator's call with an unknown outcome: 503 means "not executed", but the leader's entry may still be committed.
  */
 #include <signal.h>
 #include <stdio.h>
--- a/tests/integration/test_zones.c
+++ b/tests/integration/test_zones.c
@@ -208,7 +208,7 @@
 }
 END_TEST
 
-/* A stateful route is refused if replicas in other regions would store the conversation. */
+/* A request on a stateful route is refused if replicas in other regions would store the conversation. */
 START_TEST(a_conversation_is_not_stored_outside_its_regions)
 {
     struct site_response response;
