--- a/src/core/replica.c
+++ b/src/core/replica.c
@@ -107,8 +107,8 @@
 {
     struct replica *replica = context;
     replica->dirty = true;
-    replica->counters.synced_entries++;
-    replica->counters.synced_bytes += entry->length;
+    replica->counters.written_entries++;
+    replica->counters.written_bytes += entry->length;
     replica->io.append(replica->io.disk, group, entry);
 }
 
--- a/src/core/replica.h
+++ b/src/core/replica.h
@@ -73,7 +73,7 @@
     uint32_t lease_ms;                  /**< Lease granted by one heartbeat of a daemon. */
     uint64_t seed;                      /**< Seed of election jitter. */
     uint32_t snapshot_entries;          /**< 0: REPLICA_SNAPSHOT_ENTRIES. */
-    size_t log_bytes;                   /**< 0: REPLICA_LOG_BYTES. */
+    size_t snapshot_log_bytes;          /**< Log size of all groups at which snapshots are due; 0: REPLICA_LOG_BYTES. */
     size_t max_log_bytes;               /**< Log size in memory at which a group refuses entries; 0: no limit. */
     size_t max_state_bytes;             /**< Memory of turns and budgets at which new turns are refused; 0: no limit. */
     bool auto_membership;               /**< Members join by themselves and are replaced when unreachable. */
@@ -121,13 +121,13 @@
 struct replica_counters {
     uint64_t proposals; /**< Entries proposed here. */
     uint64_t applied;
-    uint64_t syncs;          /**< Syncs that covered at least one write. */
-    uint64_t synced_entries; /**< Log entries written, synced or not. */
-    uint64_t synced_bytes;   /**< Payload of these entries. */
-    uint64_t snapshots;      /**< Snapshots written of this replica's state. */
-    uint64_t installs;       /**< Snapshots received from a leader and installed. */
-    uint64_t role_changes;   /**< Role, term or leader changes of any group. */
-    uint64_t refused;        /**< Proposals refused because of a memory limit. */
+    uint64_t syncs;           /**< Syncs that covered at least one write. */
+    uint64_t written_entries; /**< Log entries written, whether synced or not. */
+    uint64_t written_bytes;   /**< Payload of these entries. */
+    uint64_t snapshots;       /**< Snapshots written of this replica's state. */
+    uint64_t installs;        /**< Snapshots received from a leader and installed. */
+    uint64_t role_changes;    /**< Role, term or leader changes of any group. */
+    uint64_t refused;         /**< Proposals refused because of a memory limit. */
 };
 
 struct replica {
--- a/src/core/replica_snapshot.c
+++ b/src/core/replica_snapshot.c
@@ -119,7 +119,7 @@
 /* Bytes of log that a group may keep in memory before a snapshot is due. */
 static size_t replica_log_share(const struct replica *replica)
 {
-    size_t total = replica->config.log_bytes == 0 ? REPLICA_LOG_BYTES : replica->config.log_bytes;
+    size_t total = replica->config.snapshot_log_bytes == 0 ? REPLICA_LOG_BYTES : replica->config.snapshot_log_bytes;
     size_t share = total / replica->config.groups;
     return share < REPLICA_MIN_LOG_BYTES ? REPLICA_MIN_LOG_BYTES : share;
 }
@@ -144,7 +144,7 @@
 size_t replica_turn_log_limit(const struct replica *replica)
 {
     size_t max_bytes = replica->config.max_log_bytes;
-    return max_bytes == 0 ? SIZE_MAX : (replica->config.log_bytes + max_bytes) / 2;
+    return max_bytes == 0 ? SIZE_MAX : (replica->config.snapshot_log_bytes + max_bytes) / 2;
 }
 
 /* Whether a due snapshot must wait because it would replace one that is being sent or received. So that no turn is
--- a/src/daemon/metrics.c
+++ b/src/daemon/metrics.c
@@ -55,8 +55,8 @@
     metrics_write_counter(out, "link_received_frames_total", "Frames received from peers.", status->link_frames_in);
     metrics_write_counter(out, "link_sent_frames_total", "Frames sent to peers.", status->link_frames_out);
     metrics_write_counter(out, "log_syncs_total", "Syncs of the log.", status->counters.syncs);
-    metrics_write_counter(out, "log_entries_total", "Entries written to the log.", status->counters.synced_entries);
-    metrics_write_counter(out, "log_bytes_total", "Payload bytes written to the log.", status->counters.synced_bytes);
+    metrics_write_counter(out, "log_entries_total", "Entries written to the log.", status->counters.written_entries);
+    metrics_write_counter(out, "log_bytes_total", "Payload bytes written to the log.", status->counters.written_bytes);
     metrics_write_counter(out, "entries_applied_total", "Entries applied.", status->counters.applied);
     metrics_write_counter(out, "snapshots_total", "Snapshots taken.", status->counters.snapshots);
     metrics_write_counter(out, "role_changes_total", "Role, term or leader changes.", status->counters.role_changes);
--- a/src/proxy/state_host.c
+++ b/src/proxy/state_host.c
@@ -315,7 +315,7 @@
     metrics_write_gauge(out, "raft_voters", "Voters.", raft_voter_count(&group->raft.members));
     metrics_write_counter(out, "raft_proposals_total", "Entries proposed here.", counters->proposals);
     metrics_write_counter(out, "raft_syncs_total", "Syncs of the log.", counters->syncs);
-    metrics_write_counter(out, "raft_synced_bytes_total", "Bytes written to the log.", counters->synced_bytes);
+    metrics_write_counter(out, "raft_synced_bytes_total", "Bytes written to the log.", counters->written_bytes);
     metrics_write_counter(out, "disk_wait_ms_total", "Time spent in waits for the disk.", host->disk_wait_ms);
     metrics_write_counter(out, "raft_snapshots_total", "Snapshots taken.", counters->snapshots);
     metrics_write_counter(out, "raft_snapshots_installed_total", "Snapshots received.", counters->installs);
--- a/src/proxy/state_host_disk.c
+++ b/src/proxy/state_host_disk.c
@@ -143,7 +143,7 @@
         .seed = host->node->boot_id,
         .short_election_timeout_ms = STATE_HOST_SHORT_ELECTION_TIMEOUT_MS,
         .snapshot_entries = STATE_HOST_SNAPSHOT_ENTRIES + host->identity.node % STATE_HOST_SNAPSHOT_STAGGER_ENTRIES,
-        .log_bytes = memory->log,
+        .snapshot_log_bytes = memory->log,
         .max_log_bytes = memory->log_max,
         .max_state_bytes = memory->state,
         .auto_membership = true,
--- a/tests/scripted/run_snapshot.c
+++ b/tests/scripted/run_snapshot.c
@@ -134,7 +134,7 @@
         .members = {.count = three_voters ? 3 : 2, .nodes = {1, 2, 3}, .learners = {false, !three_voters, false}},
         .election_timeout_ms = 400,
         .heartbeat_ms = 80,
-        .log_bytes = log_bytes,
+        .snapshot_log_bytes = log_bytes,
         .max_log_bytes = 2 * log_bytes,
         .max_state_bytes = state_bytes,
         .monotonic_timestamps = true,
