--- a/src/core/control_client.c
+++ b/src/core/control_client.c
@@ -327,7 +327,7 @@
 {
     if (reply->lease_ms == 0) {
         client->leaders[STATE_CONFIG_GROUP] = reply->leader;
-        uint64_t pause_ms = reply->leader != RAFT_NO_NODE ? CONTROL_RETRY_MS : CONTROL_DISCOVERY_PERIOD_MS;
+        uint64_t pause_ms = reply->leader != RAFT_NO_NODE ? CONTROL_RETRY_MS : CONTROL_NO_LEADER_RETRY_MS;
         if (client->heartbeat_due_ms > now_ms + pause_ms) {
             client->heartbeat_due_ms = now_ms + pause_ms;
         }
--- a/src/core/control_client.h
+++ b/src/core/control_client.h
@@ -27,7 +27,7 @@
                                              it is slow, and resent requests add to its load. */
     CONTROL_RETRY_MS = 20,                /**< Delay after a failed send or a reply that names no other leader. */
     CONTROL_BACKGROUND_RETRY_MS = 250,    /**< Instead of CONTROL_RETRY_MS for background requests. */
-    CONTROL_DISCOVERY_PERIOD_MS = 100,    /**< Delay of the next heartbeat after a reply that names no leader. */
+    CONTROL_NO_LEADER_RETRY_MS = 100,     /**< Delay of the next heartbeat after a reply that names no leader. */
     CONTROL_HEARTBEAT_TIMEOUT_MS = 1200   /**< Time without a heartbeat reply before another replica is tried. */
 };
 
--- a/src/core/ledger.c
+++ b/src/core/ledger.c
@@ -341,12 +341,12 @@
 static bool ledger_is_expired(const struct ledger_program *program, uint64_t now_ms)
 {
     bool ended = program->state == LEDGER_PROGRAM_ENDED;
-    uint64_t limit = ended ? LEDGER_RETENTION_MS : LEDGER_DEFAULT_IDLE_MS;
+    uint64_t limit = ended ? LEDGER_RETENTION_MS : LEDGER_IDLE_MS;
     return now_ms > program->last_active_ms + limit;
 }
 
 /* Checks only the least recently active program. An ended program may therefore outlive its retention behind an open
- * one, by at most LEDGER_DEFAULT_IDLE_MS. */
+ * one, by at most LEDGER_IDLE_MS. */
 bool ledger_expiry_due(const struct ledger *ledger, uint64_t now_ms)
 {
     return ledger->oldest != NULL && ledger_is_expired(ledger->oldest, now_ms);
--- a/src/core/ledger.h
+++ b/src/core/ledger.h
@@ -24,10 +24,10 @@
 #include "core/history.h"
 
 enum {
-    LEDGER_ATTEMPT_LENGTH = 32,           /**< Hex digits of an attempt id. */
-    LEDGER_MAX_DEPTH = 8,                 /**< Maximum depth of a program tree, root included. */
-    LEDGER_DEFAULT_IDLE_MS = 3600 * 1000, /**< A program that has not ended is ended after this idle time. */
-    LEDGER_RETENTION_MS = 600 * 1000      /**< Minimum time for which an ended program is kept. */
+    LEDGER_ATTEMPT_LENGTH = 32,      /**< Hex digits of an attempt id. */
+    LEDGER_MAX_DEPTH = 8,            /**< Maximum depth of a program tree, root included. */
+    LEDGER_IDLE_MS = 3600 * 1000,    /**< A program that has not ended is ended after this idle time. */
+    LEDGER_RETENTION_MS = 600 * 1000 /**< Minimum time for which an ended program is kept. */
 };
 
 enum ledger_call_state { LEDGER_CALL_RUNNING = 1, LEDGER_CALL_FINISHED = 2, LEDGER_CALL_UNKNOWN = 3 };
--- a/src/net/http_listener.c
+++ b/src/net/http_listener.c
@@ -14,10 +14,10 @@
     HTTP_LISTENER_SWEEP_MS = 250,
     HTTP_LISTENER_READ_BYTES = 1 << 16,
     HTTP_LISTENER_UNAVAILABLE = 503,
-    HTTP_LISTENER_LINGER_MS = 1000,             /* time for the client to close after the last response */
-    HTTP_LISTENER_RECEIVE_SLACK_MS = 100,       /* bytes that cannot have been queued longer count as received now */
-    HTTP_LISTENER_WRITE_TIMEOUT_MS = 15000,     /* longest time for which a client may accept no byte of its response */
-    HTTP_LISTENER_MAX_PIPELINED_BYTES = 1 << 16 /* reading pauses above this while a request is being answered */
+    HTTP_LISTENER_LINGER_MS = 1000,          /* time for the client to close after the last response */
+    HTTP_LISTENER_RECEIVE_SLACK_MS = 100,    /* bytes that cannot have been queued longer count as received now */
+    HTTP_LISTENER_WRITE_TIMEOUT_MS = 15000,  /* longest time for which a client may accept no byte of its response */
+    HTTP_LISTENER_PAUSE_READ_BYTES = 1 << 16 /* reading pauses above this while a request is being answered */
 };
 
 static char http_read_buffer[HTTP_LISTENER_READ_BYTES];
@@ -246,7 +246,7 @@
     buffer_append(&connection->input, buffer->base, (size_t)nread);
     if (connection->state == HTTP_READING) {
         http_connection_advance(connection);
-    } else if (connection->input.length > HTTP_LISTENER_MAX_PIPELINED_BYTES) {
+    } else if (connection->input.length > HTTP_LISTENER_PAUSE_READ_BYTES) {
         uv_read_stop(stream);
         connection->unread_since_ms = uv_now(connection->listener->loop);
     }
--- a/tests/unit/ledger.c
+++ b/tests/unit/ledger.c
@@ -415,14 +415,14 @@
     create("p1-a", NULL, 0);
     Entry expire = {0};
     expire.which_command = Entry_program_expire_tag;
-    expire.command.program_expire.idle_before_ms = LEDGER_DEFAULT_IDLE_MS + 100;
+    expire.command.program_expire.idle_before_ms = LEDGER_IDLE_MS + 100;
     expire.command.program_expire.limit = 10;
-    ck_assert(!ledger_expiry_due(&ledger, LEDGER_DEFAULT_IDLE_MS));
-    ck_assert(ledger_expiry_due(&ledger, LEDGER_DEFAULT_IDLE_MS + 100));
+    ck_assert(!ledger_expiry_due(&ledger, LEDGER_IDLE_MS));
+    ck_assert(ledger_expiry_due(&ledger, LEDGER_IDLE_MS + 100));
     ledger.time_ms = expire.command.program_expire.idle_before_ms;
     apply(&expire, false);
     ck_assert_int_eq(ledger_find(&ledger, "p1-a")->state, LEDGER_PROGRAM_ENDED);
-    expire.command.program_expire.idle_before_ms += LEDGER_RETENTION_MS + LEDGER_DEFAULT_IDLE_MS;
+    expire.command.program_expire.idle_before_ms += LEDGER_RETENTION_MS + LEDGER_IDLE_MS;
     apply(&expire, false);
     ck_assert_uint_eq(ledger_count(&ledger), 0);
 }
