--- a/src/base/event_log.c
+++ b/src/base/event_log.c
@@ -98,7 +98,7 @@
 }
 
 /* Counts a line; returns false if it exceeds the budget. */
-static bool event_kind_count_line(struct event_kind *kind)
+static bool event_kind_admit_line(struct event_kind *kind)
 {
     uint64_t second = log_state.now_ms / EVENT_LOG_SECOND_MS;
     if (kind->second != second) {
@@ -159,7 +159,7 @@
 
 static void event_log_va(const char *budget, const char *event, const char *format, va_list arguments)
 {
-    if (log_state.category == NULL || !event_kind_count_line(event_kind_find(budget))) {
+    if (log_state.category == NULL || !event_kind_admit_line(event_kind_find(budget))) {
         return;
     }
     json_t *object = json_vpack_ex(NULL, 0, format, arguments);
--- a/src/daemon/http_servers.c
+++ b/src/daemon/http_servers.c
@@ -54,7 +54,7 @@
     };
     struct mg_callbacks callbacks;
     memset(&callbacks, 0, sizeof(callbacks));
-    callbacks.begin_request = http_framing_begin;
+    callbacks.begin_request = http_framing_check_request;
     callbacks.http_error = http_on_server_error;
     callbacks.log_message = http_on_server_log;
     struct mg_init_data init = {.callbacks = &callbacks, .user_data = gateway, .configuration_options = options};
--- a/src/net/http_framing.c
+++ b/src/net/http_framing.c
@@ -76,7 +76,7 @@
     return NULL;
 }
 
-int http_framing_begin(struct mg_connection *connection)
+int http_framing_check_request(struct mg_connection *connection)
 {
     const char *framing_error = http_framing_error(mg_get_request_info(connection));
     if (framing_error == NULL) {
--- a/src/net/http_framing.h
+++ b/src/net/http_framing.h
@@ -13,6 +13,6 @@
 const char *http_framing_error(const struct mg_request_info *request);
 
 /** CivetWeb begin_request callback: answers a framing error with 400 and closes the connection. */
-int http_framing_begin(struct mg_connection *connection);
+int http_framing_check_request(struct mg_connection *connection);
 
 #endif
--- a/src/net/upstream.c
+++ b/src/net/upstream.c
@@ -256,7 +256,7 @@
     }
     pool->all = connection;
     server->open++;
-    pool->counters.connections++;
+    pool->counters.connect_attempts++;
     if (exchange != NULL) {
         exchange->connection = connection;
     }
--- a/src/net/upstream.h
+++ b/src/net/upstream.h
@@ -76,7 +76,7 @@
 
 /** Counters since the start. */
 struct upstream_counters {
-    uint64_t connections;       /**< Connection attempts. */
+    uint64_t connect_attempts;  /**< Includes probes. */
     uint64_t reuses;            /**< Requests on a reused connection. */
     uint64_t stray_data_closes; /**< Connections closed because of unexpected bytes. */
     uint64_t connect_failures;  /**< Failed connection attempts. */
--- a/src/proxy/node_metrics.c
+++ b/src/proxy/node_metrics.c
@@ -68,7 +68,8 @@
                           node->machine_reader.skipped_total);
     metrics_write_gauge(out, "machine_list_left_out", "The same of the last reading.",
                         server_entries_skipped_total(&node->machine_reader.logged_skipped));
-    metrics_write_counter(out, "upstream_connections_total", "New connections to servers.", upstreams->connections);
+    metrics_write_counter(out, "upstream_connections_total", "New connections to servers.",
+                          upstreams->connect_attempts);
     metrics_write_counter(out, "upstream_reuses_total", "Requests on kept connections.", upstreams->reuses);
     metrics_write_counter(out, "upstream_stray_bytes_total", "Connections closed for bytes of no request.",
                           upstreams->stray_data_closes);
