--- a/src/core/reach.c
+++ b/src/core/reach.c
@@ -12,7 +12,7 @@
     if (reach->probing) {
         return false;
     }
-    if (reach->confirmed) {
+    if (reach->confirmed_unreachable) {
         return now_ms >= reach->probed_ms + REACH_RETRY_MS;
     }
     if (reach->failures > 0) {
@@ -30,7 +30,7 @@
 {
     bool was_unreachable = reach->unreachable;
     reach->unreachable = false;
-    reach->confirmed = false;
+    reach->confirmed_unreachable = false;
     reach->peer_silent = false;
     reach->failures = 0;
     return was_unreachable ? REACH_RECOVERED : REACH_UNCHANGED;
@@ -49,8 +49,8 @@
         reach->unreachable = true;
         return REACH_UNREACHABLE;
     }
-    if (!reach->confirmed && reach->failures >= REACH_CONFIRMED_PROBES) {
-        reach->confirmed = true;
+    if (!reach->confirmed_unreachable && reach->failures >= REACH_CONFIRMED_PROBES) {
+        reach->confirmed_unreachable = true;
         return reach->peer_silent ? REACH_DEAD : REACH_CONFIRMED_UNREACHABLE;
     }
     return REACH_UNCHANGED;
@@ -60,12 +60,12 @@
 {
     bool was_silent = reach->peer_silent;
     reach->peer_silent = true;
-    return reach->confirmed && !was_silent ? REACH_DEAD : REACH_UNCHANGED;
+    return reach->confirmed_unreachable && !was_silent ? REACH_DEAD : REACH_UNCHANGED;
 }
 
 bool reach_is_dead(const reach_t *reach)
 {
-    return reach->confirmed && reach->peer_silent;
+    return reach->confirmed_unreachable && reach->peer_silent;
 }
 
 void reach_record_response(reach_t *reach, uint64_t response_ms)
--- a/src/core/reach.h
+++ b/src/core/reach.h
@@ -21,9 +21,9 @@
  * is probed rarely.
  *
  *   reachable -> (silence) probing -> (connected) reachable, tolerated silence doubled
- *                                  -> (two failures) unreachable -> (two more failures) confirmed
- *   confirmed -> (peer of an open connection is silent too) dead
- *   unreachable, confirmed, dead -> (connected, or data received) reachable
+ *                                  -> (two failures) unreachable -> (two more failures) confirmed unreachable
+ *   confirmed unreachable -> (peer of an open connection is silent too) dead
+ *   unreachable, confirmed unreachable, dead -> (connected, or data received) reachable
  */
 #ifndef BANKBANK_CORE_REACH_H
 #define BANKBANK_CORE_REACH_H
@@ -44,15 +44,15 @@
 
 /** All zero: reachable. */
 typedef struct reach_t {
-    bool probing;          /**< A probe is in flight. */
-    bool unreachable;      /**< The last REACH_UNREACHABLE_PROBES probes or more failed. */
-    bool confirmed;        /**< The last REACH_CONFIRMED_PROBES probes or more failed. */
-    bool peer_silent;      /**< Its kernel did not respond on an open connection. */
-    uint32_t failures;     /**< Consecutive failed probes. */
-    uint32_t mean_ms;      /**< Mean time until a response starts; 0: no response yet. */
-    uint32_t deviation_ms; /**< Mean deviation of that time. */
-    uint32_t backoff;      /**< Doublings of the tolerated silence since data was last received. */
-    uint64_t probed_ms;    /**< Time of the last probe's outcome. */
+    bool probing;               /**< A probe is in flight. */
+    bool unreachable;           /**< The last REACH_UNREACHABLE_PROBES probes or more failed. */
+    bool confirmed_unreachable; /**< The last REACH_CONFIRMED_PROBES probes or more failed. */
+    bool peer_silent;           /**< Its kernel did not respond on an open connection. */
+    uint32_t failures;          /**< Consecutive failed probes. */
+    uint32_t mean_ms;           /**< Mean time until a response starts; 0: no response yet. */
+    uint32_t deviation_ms;      /**< Mean deviation of that time. */
+    uint32_t backoff;           /**< Doublings of the tolerated silence since data was last received. */
+    uint64_t probed_ms;         /**< Time of the last probe's outcome. */
 } reach_t;
 
 /** State change caused by an event. */
--- a/src/core/resume.c
+++ b/src/core/resume.c
@@ -9,7 +9,7 @@
         return RESUME_OTHER;
     }
     bool others_allowed = stream->servers_used < stream->max_attempts;
-    if (stream->server_out_of_rotation) {
+    if (stream->server_zone_drained) {
         return others_allowed ? RESUME_OTHER : RESUME_NONE;
     }
     return others_allowed && stream->resumes >= RESUME_SAME_MAX ? RESUME_OTHER : RESUME_SAME;
--- a/src/core/resume.h
+++ b/src/core/resume.h
@@ -34,13 +34,13 @@
 
 /** An interrupted stream. */
 typedef struct resume_stream_t {
-    bool resumable;              /**< Allowed by the route. */
-    bool server_gone;            /**< server_is_gone(). */
-    bool server_out_of_rotation; /**< The server's zone is drained. */
-    uint32_t resumes;            /**< So far. */
-    uint32_t servers_used;       /**< Servers that may have run it. */
-    uint32_t max_attempts;       /**< Maximum number of servers, set by the route. */
-    uint64_t left_ms;            /**< Time until the caller's deadline. */
+    bool resumable;   /**< Allowed by the route. */
+    bool server_gone; /**< server_is_gone(). */
+    bool server_zone_drained;
+    uint32_t resumes;      /**< So far. */
+    uint32_t servers_used; /**< Servers that may have run it. */
+    uint32_t max_attempts; /**< Maximum number of servers, set by the route. */
+    uint64_t left_ms;      /**< Time until the caller's deadline. */
 } resume_stream_t;
 
 resume_target_t resume_decide(const resume_stream_t *stream);
--- a/src/proxy/forward.h
+++ b/src/proxy/forward.h
@@ -142,7 +142,7 @@
 bool forward_is_resumable(const struct forward *forward);
 
 /** forward_resume.c: ends those attempts at an unreachable server that were not sent, or may be retried or resumed. */
-void forward_server_unreachable(struct frontend *frontend, const struct server *server);
+void forward_handle_unreachable_server(struct frontend *frontend, const struct server *server);
 
 /** forward_resume.c: ends the attempts at restarted servers that were not sent or are idle. */
 void forward_end_idle_after_restart(struct frontend *frontend);
--- a/src/proxy/forward_resume.c
+++ b/src/proxy/forward_resume.c
@@ -22,7 +22,7 @@
     return (resume_stream_t){
         .resumable = forward_is_resumable(forward),
         .server_gone = server_is_gone(server) || (server->reach.unreachable && forward_may_use_another_server(forward)),
-        .server_out_of_rotation = server->zone_drained,
+        .server_zone_drained = server->zone_drained,
         .resumes = forward->stream.resumes,
         .servers_used = forward->criteria.tried_count,
         .max_attempts = forward->route->max_attempts,
@@ -123,7 +123,7 @@
     }
 }
 
-void forward_server_unreachable(struct frontend *frontend, const struct server *server)
+void forward_handle_unreachable_server(struct frontend *frontend, const struct server *server)
 {
     struct forward *next = NULL;
     for (struct forward *forward = frontend->forwards; forward != NULL; forward = next) {
--- a/src/proxy/frontend_reach.c
+++ b/src/proxy/frontend_reach.c
@@ -23,7 +23,7 @@
         break;
     }
     if (change == REACH_UNREACHABLE || change == REACH_CONFIRMED_UNREACHABLE || change == REACH_DEAD) {
-        forward_server_unreachable(frontend, server);
+        forward_handle_unreachable_server(frontend, server);
     }
 }
 
--- a/tests/scripted/run_resume.c
+++ b/tests/scripted/run_resume.c
@@ -22,7 +22,7 @@
         } else if (script_is(command, i, "gone")) {
             stream.server_gone = true;
         } else if (script_is(command, i, "drained")) {
-            stream.server_out_of_rotation = true;
+            stream.server_zone_drained = true;
         } else if (script_is(command, i, "not-resumable")) {
             stream.resumable = false;
         }
--- a/tests/scripted/run_zones.c
+++ b/tests/scripted/run_zones.c
@@ -197,7 +197,7 @@
     resume_stream_t stream = {
         .resumable = true,
         .server_gone = server_is_gone(server),
-        .server_out_of_rotation = server->zone_drained,
+        .server_zone_drained = server->zone_drained,
         .servers_used = 1,
         .max_attempts = 1,
         .left_ms = LEFT_MS,
