--- a/src/core/quota_lease.c
+++ b/src/core/quota_lease.c
@@ -16,14 +16,14 @@
     }
 }
 
-static quota_lease_t *quota_find_or_add_lease(quota_leases_t *leases, uint64_t tenant)
+static quota_lease_t *quota_find_or_add_lease(quota_leases_t *leases, uint64_t key)
 {
     quota_lease_t *lease = NULL;
-    HASH_FIND(hh, leases->by_tenant, &tenant, sizeof(tenant), lease);
+    HASH_FIND(hh, leases->by_tenant, &key, sizeof(key), lease);
     if (lease == NULL) {
         lease = memory_new(sizeof(*lease));
-        lease->tenant = tenant;
-        HASH_ADD(hh, leases->by_tenant, tenant, sizeof(lease->tenant), lease);
+        lease->key = key;
+        HASH_ADD(hh, leases->by_tenant, key, sizeof(lease->key), lease);
     }
     return lease;
 }
@@ -54,23 +54,23 @@
     }
 }
 
-bool quota_leases_has(const quota_leases_t *leases, uint64_t now_ms, uint64_t tenant)
+bool quota_leases_has(const quota_leases_t *leases, uint64_t now_ms, uint64_t key)
 {
     const quota_lease_t *lease = NULL;
-    HASH_FIND(hh, leases->by_tenant, &tenant, sizeof(tenant), lease);
+    HASH_FIND(hh, leases->by_tenant, &key, sizeof(key), lease);
     return lease != NULL && lease->tokens > 0 && now_ms < lease->expires_ms;
 }
 
-uint64_t quota_leases_expiry(const quota_leases_t *leases, uint64_t tenant)
+uint64_t quota_leases_expiry(const quota_leases_t *leases, uint64_t key)
 {
     const quota_lease_t *lease = NULL;
-    HASH_FIND(hh, leases->by_tenant, &tenant, sizeof(tenant), lease);
+    HASH_FIND(hh, leases->by_tenant, &key, sizeof(key), lease);
     return lease == NULL ? 0 : lease->expires_ms;
 }
 
-void quota_leases_set_service(quota_leases_t *leases, uint64_t tenant, uint64_t service)
+void quota_leases_set_service(quota_leases_t *leases, uint64_t key, uint64_t service)
 {
-    quota_find_or_add_lease(leases, tenant)->service = service;
+    quota_find_or_add_lease(leases, key)->service = service;
 }
 
 void quota_leases_remove_idle(quota_leases_t *leases, uint64_t now_ms)
@@ -93,9 +93,9 @@
     leases->due = true;
 }
 
-bool quota_leases_take(quota_leases_t *leases, uint64_t now_ms, uint64_t tenant, quota_use_t use)
+bool quota_leases_take(quota_leases_t *leases, uint64_t now_ms, uint64_t key, quota_use_t use)
 {
-    quota_lease_t *lease = quota_find_or_add_lease(leases, tenant);
+    quota_lease_t *lease = quota_find_or_add_lease(leases, key);
     quota_lease_advance_period(lease, now_ms);
     quota_lease_expire(leases, lease, now_ms);
     lease->current++;
@@ -118,7 +118,7 @@
         quota_lease_expire(leases, lease, now_ms);
         if (lease->waiting + lease->begins + lease->to_return > 0) {
             uint32_t prefetch = lease->waiting > 0 ? lease->previous : 0;
-            ask->demands[ask->demands_count++] = (QuotaDemand){.tenant = lease->tenant,
+            ask->demands[ask->demands_count++] = (QuotaDemand){.tenant = lease->key,
                                                                .wanted = lease->waiting + prefetch,
                                                                .begins = lease->begins,
                                                                .service = lease->service,
@@ -131,9 +131,9 @@
     leases->due = false;
 }
 
-void quota_leases_add(quota_leases_t *leases, uint64_t sent_ms, uint64_t tenant, uint32_t tokens)
+void quota_leases_add(quota_leases_t *leases, uint64_t sent_ms, uint64_t key, uint32_t tokens)
 {
-    quota_lease_t *lease = quota_find_or_add_lease(leases, tenant);
+    quota_lease_t *lease = quota_find_or_add_lease(leases, key);
     if (tokens > 0) {
         lease->tokens += tokens;
         lease->expires_ms = sent_ms + QUOTA_LEASE_MS;
--- a/src/core/quota_lease.h
+++ b/src/core/quota_lease.h
@@ -27,9 +27,9 @@
     QUOTA_IDLE_MS = 10000    /**< Time without use after which a lease is removed. */
 };
 
-/** Tokens and pending requests of one tenant. */
+/** Tokens and pending requests of one tenant or, for slow start, one server. */
 typedef struct quota_lease_t {
-    uint64_t tenant;  /**< Key: hash of the tenant's name; for slow start, of the server (core/slow_start.h). */
+    uint64_t key;     /**< Hash of the tenant's name; for slow start, of the server (core/slow_start.h). */
     uint64_t service; /**< Hash of the service, sent with each token request; 0: none. */
     uint32_t tokens;  /**< Unused tokens; valid until expires_ms. */
     uint64_t expires_ms;
@@ -58,16 +58,16 @@
  * Takes a token. Returns false if none is available or for QUOTA_USE_BEGIN: the request is then part of the next token
  * request.
  */
-bool quota_leases_take(quota_leases_t *leases, uint64_t now_ms, uint64_t tenant, quota_use_t use);
+bool quota_leases_take(quota_leases_t *leases, uint64_t now_ms, uint64_t key, quota_use_t use);
 
 /** Whether a token is available; does not count as a request. */
-bool quota_leases_has(const quota_leases_t *leases, uint64_t now_ms, uint64_t tenant);
+bool quota_leases_has(const quota_leases_t *leases, uint64_t now_ms, uint64_t key);
 
 /** Returns the time at which the tokens expire, 0 if none were leased. */
-uint64_t quota_leases_expiry(const quota_leases_t *leases, uint64_t tenant);
+uint64_t quota_leases_expiry(const quota_leases_t *leases, uint64_t key);
 
-/** Sets the service hash sent with token requests for `tenant`. */
-void quota_leases_set_service(quota_leases_t *leases, uint64_t tenant, uint64_t service);
+/** Sets the service hash sent with token requests for `key`. */
+void quota_leases_set_service(quota_leases_t *leases, uint64_t key, uint64_t service);
 
 /** Removes leases not used for QUOTA_IDLE_MS that have no tokens or pending requests. */
 void quota_leases_remove_idle(quota_leases_t *leases, uint64_t now_ms);
@@ -82,9 +82,9 @@
 void quota_leases_fill_request(quota_leases_t *leases, uint64_t now_ms, QuotaAsk *ask);
 
 /**
- * Adds granted tokens that no waiting request took. If `tokens` is not 0, all tokens of the tenant then expire
+ * Adds granted tokens that no waiting request took. If `tokens` is not 0, all tokens of `key` then expire
  * QUOTA_LEASE_MS after `sent_ms`, the time at which the token request was sent.
  */
-void quota_leases_add(quota_leases_t *leases, uint64_t sent_ms, uint64_t tenant, uint32_t tokens);
+void quota_leases_add(quota_leases_t *leases, uint64_t sent_ms, uint64_t key, uint32_t tokens);
 
 #endif
--- a/src/core/quota_table.c
+++ b/src/core/quota_table.c
@@ -62,11 +62,11 @@
     HASH_FIND(hh, table->buckets, &tenant->hash, sizeof(tenant->hash), bucket);
     if (bucket == NULL) {
         bucket = memory_new(sizeof(*bucket));
-        bucket->tenant = tenant->hash;
+        bucket->key = tenant->hash;
         bucket->level = quota_initial_level(table, tenant);
         bucket->begin_level = quota_begin_capacity(tenant);
         bucket->filled_ms = table->started_ms;
-        HASH_ADD(hh, table->buckets, tenant, sizeof(bucket->tenant), bucket);
+        HASH_ADD(hh, table->buckets, key, sizeof(bucket->key), bucket);
     }
     return bucket;
 }
--- a/src/core/quota_table.h
+++ b/src/core/quota_table.h
@@ -50,7 +50,7 @@
 } quota_tolerance_t;
 
 typedef struct quota_bucket_t {
-    uint64_t tenant;      /**< Key: hash of the tenant's name; for slow start, of the server (slow_start.h). */
+    uint64_t key;         /**< Hash of the tenant's name; for slow start, of the server (slow_start.h). */
     double level;         /**< Tokens for requests. */
     double begin_level;   /**< Tokens for begins of programs, in requests; may be negative. */
     uint64_t filled_ms;   /**< Last refill of both buckets. */
--- a/src/proxy/state_host_daemons.c
+++ b/src/proxy/state_host_daemons.c
@@ -206,7 +206,7 @@
     metrics_write_counter(out, "slow_starts_refused_total", "Requests asked for and not granted to such servers.",
                           host->slow_starts.tokens.refused);
     for (const quota_bucket_t *bucket = host->quotas.buckets; bucket != NULL; bucket = bucket->hh.next) {
-        const char *name = host_tenant_name(host, bucket->tenant);
+        const char *name = host_tenant_name(host, bucket->key);
         bool label_safe = name != NULL && strpbrk(name, "\"\\\n") == NULL;
         if (!label_safe || written++ >= STATE_HOST_MAX_TENANT_METRICS) {
             continue;
