--- a/src/core/quota_lease.c
+++ b/src/core/quota_lease.c
@@ -9,9 +9,9 @@
 {
     quota_lease_t *lease;
     quota_lease_t *next;
-    HASH_ITER(hh, leases->by_tenant, lease, next)
+    HASH_ITER(hh, leases->by_key, lease, next)
     {
-        HASH_DEL(leases->by_tenant, lease);
+        HASH_DEL(leases->by_key, lease);
         free(lease);
     }
 }
@@ -19,11 +19,11 @@
 static quota_lease_t *quota_find_or_add_lease(quota_leases_t *leases, uint64_t key)
 {
     quota_lease_t *lease = NULL;
-    HASH_FIND(hh, leases->by_tenant, &key, sizeof(key), lease);
+    HASH_FIND(hh, leases->by_key, &key, sizeof(key), lease);
     if (lease == NULL) {
         lease = memory_new(sizeof(*lease));
         lease->key = key;
-        HASH_ADD(hh, leases->by_tenant, key, sizeof(lease->key), lease);
+        HASH_ADD(hh, leases->by_key, key, sizeof(lease->key), lease);
     }
     return lease;
 }
@@ -49,7 +49,7 @@
 
 void quota_leases_expire(quota_leases_t *leases, uint64_t now_ms)
 {
-    for (quota_lease_t *lease = leases->by_tenant; lease != NULL; lease = lease->hh.next) {
+    for (quota_lease_t *lease = leases->by_key; lease != NULL; lease = lease->hh.next) {
         quota_lease_expire(leases, lease, now_ms);
     }
 }
@@ -57,14 +57,14 @@
 bool quota_leases_has(const quota_leases_t *leases, uint64_t now_ms, uint64_t key)
 {
     const quota_lease_t *lease = NULL;
-    HASH_FIND(hh, leases->by_tenant, &key, sizeof(key), lease);
+    HASH_FIND(hh, leases->by_key, &key, sizeof(key), lease);
     return lease != NULL && lease->tokens > 0 && now_ms < lease->expires_ms;
 }
 
 uint64_t quota_leases_expiry(const quota_leases_t *leases, uint64_t key)
 {
     const quota_lease_t *lease = NULL;
-    HASH_FIND(hh, leases->by_tenant, &key, sizeof(key), lease);
+    HASH_FIND(hh, leases->by_key, &key, sizeof(key), lease);
     return lease == NULL ? 0 : lease->expires_ms;
 }
 
@@ -77,11 +77,11 @@
 {
     quota_lease_t *lease;
     quota_lease_t *next;
-    HASH_ITER(hh, leases->by_tenant, lease, next)
+    HASH_ITER(hh, leases->by_key, lease, next)
     {
         bool idle = now_ms >= (lease->period + 1) * QUOTA_PREFETCH_MS + QUOTA_IDLE_MS;
         if (idle && lease->tokens + lease->waiting + lease->begins + lease->to_return == 0) {
-            HASH_DEL(leases->by_tenant, lease);
+            HASH_DEL(leases->by_key, lease);
             free(lease);
         }
     }
@@ -112,8 +112,8 @@
 void quota_leases_fill_request(quota_leases_t *leases, uint64_t now_ms, QuotaAsk *ask)
 {
     memset(ask, 0, sizeof(*ask));
-    ask->demands = memory_new((HASH_COUNT(leases->by_tenant) + 1) * sizeof(*ask->demands));
-    for (quota_lease_t *lease = leases->by_tenant; lease != NULL; lease = lease->hh.next) {
+    ask->demands = memory_new((HASH_COUNT(leases->by_key) + 1) * sizeof(*ask->demands));
+    for (quota_lease_t *lease = leases->by_key; lease != NULL; lease = lease->hh.next) {
         quota_lease_advance_period(lease, now_ms);
         quota_lease_expire(leases, lease, now_ms);
         if (lease->waiting + lease->begins + lease->to_return > 0) {
--- a/src/core/quota_lease.h
+++ b/src/core/quota_lease.h
@@ -43,7 +43,7 @@
 } quota_lease_t;
 
 typedef struct quota_leases_t {
-    quota_lease_t *by_tenant;
+    quota_lease_t *by_key;
     bool due; /**< A token request is needed, to get or return tokens. */
 } quota_leases_t;
 
--- a/tests/scripted/run_resume.c
+++ b/tests/scripted/run_resume.c
@@ -1,7 +1,7 @@
 /* Where an interrupted stream is resumed:
  *   decide [servers N] [attempts N] [resumes N] [left MS] [gone] [drained] [not-resumable]
- *                                 prints the target; `gone`: the server has ended; `drained`: its zone is drained;
- *                                 `not-resumable`: the route does not allow resuming */
+ *                                 prints the target; `gone`: sets `server_gone`; `drained`: the server's zone is
+ *                                 drained; `not-resumable`: the route does not allow resuming */
 #include "core/resume.h"
 #include "script.h"
 
--- a/tests/unit/quota.c
+++ b/tests/unit/quota.c
@@ -84,7 +84,7 @@
 {
     gateway->asking = true;
     gateway->asked_ms = now_ms;
-    gateway->asked_for = gateway->leases.by_tenant->waiting;
+    gateway->asked_for = gateway->leases.by_key->waiting;
     gateway->waiting -= gateway->asked_for;
     quota_leases_fill_request(&gateway->leases, now_ms, &gateway->ask);
 }
@@ -318,8 +318,8 @@
     ck_assert(quota_leases_take(&leases, 1001, 9, QUOTA_USE_REQUEST));
     ck_assert(!quota_leases_take(&leases, 1000 + QUOTA_LEASE_MS, 9, QUOTA_USE_REQUEST));
     ck_assert(leases.due);
-    ck_assert_uint_eq(leases.by_tenant->waiting, 1);
-    ck_assert_uint_eq(leases.by_tenant->to_return, 1);
+    ck_assert_uint_eq(leases.by_key->waiting, 1);
+    ck_assert_uint_eq(leases.by_key->to_return, 1);
     quota_leases_close(&leases);
 }
 END_TEST
