--- a/src/core/budget_table.h
+++ b/src/core/budget_table.h
@@ -19,7 +19,7 @@
 #include "control.pb.h"
 
 enum {
-    BUDGET_RETENTION_MS = 300 * 1000, /**< A program is dropped this long after its last begin or finish. */
+    BUDGET_RETENTION_MS = 300 * 1000, /**< A program is dropped this long after its last reservation or settlement. */
     BUDGET_MAX_TURNS = 4096,          /**< Per program: limit of open reservations, and of settled turns kept. */
     BUDGET_OVERHEAD_BYTES = 96        /**< Estimated allocator and hash table overhead per program. */
 };
@@ -34,7 +34,8 @@
     uint64_t expires_ms;
     char *server; /**< Server that ran the last turn and may have its prompt cached, or NULL. */
     budget_reservation_t *reservations;
-    uint64_t *settled; /**< Turn hashes, oldest first; a begin that arrives after its settlement reserves nothing. */
+    uint64_t *settled; /**< Turn hashes, oldest first; a request to reserve that arrives after the settlement reserves
+                          nothing. */
     uint32_t reservation_count;
     uint32_t settled_count;
     uint32_t settled_capacity;
--- a/src/core/control_client.h
+++ b/src/core/control_client.h
@@ -1,9 +1,9 @@
 /**
  * @file control_client.h
  * A daemon's client for the state replicas: sends requests to the leader of
- * their group, follows leader changes, retries, renews the daemon's lease and
- * updates its copy of the configuration. A state machine without I/O, like
- * replica.h.
+ * their group, follows leader changes, retries, renews the daemon's lease
+ * (lease_table.h) and updates its copy of the configuration. A state machine
+ * without I/O, like replica.h.
  *
  * A request may be sent repeatedly: log entries are idempotent by attempt,
  * request or boot id. Without a reply by its deadline, a request completes with
--- a/src/core/ledger.h
+++ b/src/core/ledger.h
@@ -11,6 +11,10 @@
  *
  * Call states: RUNNING -> FINISHED (answer stored) | UNKNOWN (may have run,
  * never runs again). A call that is known not to have run is removed.
+ *
+ * Hand-over: moves a program here from another site, the old site, in the steps
+ * prepare, import and commit. The old site owns the program until the commit,
+ * before which the hand-over can be aborted.
  */
 #ifndef BANKBANK_CORE_LEDGER_H
 #define BANKBANK_CORE_LEDGER_H
@@ -97,7 +101,7 @@
     struct ledger_running running;                   /**< Valid while the last call is running. */
     char aborted_attempt[LEDGER_ATTEMPT_LENGTH + 1]; /**< Last attempt aborted as not run; a late begin is refused. */
     struct history_ref imported;                     /**< History imported by a hand-over. */
-    char **held_engines;                             /**< Engines that may hold memory for the program. */
+    char **held_engines;                             /**< Engines that may have the program's prompts cached. */
     uint32_t held_count;
     struct ledger_program *parent_program; /**< NULL: root, or the parent is not here. */
     struct ledger_program *first_child;
@@ -107,11 +111,11 @@
     UT_hash_handle hh;
 };
 
-/** A release of engine memory that the engine has not confirmed yet. */
+/** An engine's release of its cache of an ended program, not confirmed by it yet. */
 struct ledger_release {
     char *key; /**< "program\nengine". */
     char *program;
-    char *engine; /**< Engine that may hold memory for the ended program. */
+    char *engine; /**< Engine that may have the program's prompts cached. */
     UT_hash_handle hh;
 };
 
--- a/src/core/ledger_internal.h
+++ b/src/core/ledger_internal.h
@@ -16,7 +16,7 @@
 struct ledger_program *ledger_add(struct ledger *ledger, const char *id);
 void ledger_remove(struct ledger *ledger, struct ledger_program *program);
 void ledger_touch(struct ledger *ledger, struct ledger_program *program);
-/* Ends the program and its sub-programs and adds the releases of their engine memory. Running calls become unknown. */
+/* Ends the program and its sub-programs and adds the releases of their engine caches. Running calls become unknown. */
 void ledger_end(struct ledger *ledger, struct ledger_program *program);
 void ledger_attach(struct ledger *ledger, struct ledger_program *program);
 struct ledger_program *ledger_root(struct ledger_program *program);
--- a/src/core/placement.h
+++ b/src/core/placement.h
@@ -1,6 +1,7 @@
 /**
  * @file placement.h
- * Chooses the engine of a call by load and prefix cache affinity. Pure functions.
+ * Chooses the engine (model server) of a call by load and prefix cache affinity.
+ * Pure functions.
  *
  * The home of a program is the engine that has cached its prefix, or else the
  * first by weighted rendezvous hashing (Thaler and Ravishankar, "Using Name-Based
--- a/src/core/presence.h
+++ b/src/core/presence.h
@@ -5,8 +5,8 @@
  * When less than half of a zone's gateways are healthy, a load balancer may
  * spread its requests over all gateways of the zone, the failed ones included,
  * and fail over to other zones only if none is healthy. The healthy ones of such
- * a zone therefore report themselves as not ready, so that all requests go to
- * other zones; see presence_should_withdraw().
+ * a zone therefore report themselves as not ready (withdraw), so that all requests
+ * go to other zones; see presence_should_withdraw().
  */
 #ifndef BANKBANK_CORE_PRESENCE_H
 #define BANKBANK_CORE_PRESENCE_H
--- a/src/core/quota_lease.c
+++ b/src/core/quota_lease.c
@@ -87,9 +87,9 @@
     }
 }
 
-void quota_leases_return(quota_leases_t *leases, uint64_t tenant)
+void quota_leases_return(quota_leases_t *leases, uint64_t key)
 {
-    quota_find_or_add_lease(leases, tenant)->to_return++;
+    quota_find_or_add_lease(leases, key)->to_return++;
     leases->due = true;
 }
 
--- a/src/core/quota_lease.h
+++ b/src/core/quota_lease.h
@@ -3,7 +3,7 @@
  * Gateway side of quotas: rate limit tokens leased from the leader
  * (quota_table.h). No I/O; callers pass the time.
  *
- * A request takes a leased token or waits for the answer to the next token request
+ * A request takes a leased token or waits for the reply to the next token request
  * (QuotaAsk). A token request asks for one token per waiting request and, to
  * prefetch, for as many as requests arrived in the previous QUOTA_PREFETCH_MS.
  * Tokens expire QUOTA_LEASE_MS after the token request is sent, so that a suspended
@@ -73,7 +73,7 @@
 void quota_leases_remove_idle(quota_leases_t *leases, uint64_t now_ms);
 
 /** Returns a taken but unused token with the next token request. */
-void quota_leases_return(quota_leases_t *leases, uint64_t tenant);
+void quota_leases_return(quota_leases_t *leases, uint64_t key);
 
 /** Schedules expired tokens for return with the next token request. */
 void quota_leases_expire(quota_leases_t *leases, uint64_t now_ms);
--- a/src/core/reach.h
+++ b/src/core/reach.h
@@ -12,9 +12,10 @@
  * queue can also make probes fail, so it is probed again at once until
  * REACH_CONFIRMED_PROBES have failed: it is then confirmed to be unreachable.
  * Further probes cannot distinguish a full accept queue or a packet filter from a
- * crash. Requests that may run on one server only are moved when it is dead:
- * confirmed, and its kernel does not respond on an open connection either
- * (net/peer_keepalive.h).
+ * crash. A resumable stream whose route allows no other server (resume.h) is
+ * therefore moved only when its server is dead: confirmed unreachable, and its
+ * kernel does not respond on an open connection either (net/peer_keepalive.h).
+ * Requests that must not run again are not moved.
  *
  * The tolerated silence is computed like a retransmission timeout (RFC 6298) from
  * the response times. It doubles with each successful probe, so that a slow server
--- a/src/core/replica_internal.h
+++ b/src/core/replica_internal.h
@@ -6,7 +6,7 @@
  *   replica_snapshot.c     writing, loading, sending and receiving snapshots
  *   replica_requests.c     requests of daemons: proposals, reads, member changes
  *   replica_maintenance.c  leases, expiry, leader placement
- *   replica_site.c         site document, turns, automatic membership
+ *   replica_site.c         configuration document, turns, automatic membership
  */
 #ifndef BANKBANK_CORE_REPLICA_INTERNAL_H
 #define BANKBANK_CORE_REPLICA_INTERNAL_H
--- a/src/core/resume.h
+++ b/src/core/resume.h
@@ -12,8 +12,10 @@
  * full, the stream waits like a queued request (queue_policy.h) and ends if the
  * server stays full.
  *
- * A stream is not interrupted merely because its server accepts no new
- * connections: its own connection shows whether the server is dead (reach.h).
+ * An unreachable server's resumable streams are interrupted at once if the route
+ * allows another server, and otherwise only when the server is dead (reach.h): one
+ * that merely accepts no new connections may still run them. Streams that are not
+ * resumable are not interrupted for this reason.
  */
 #ifndef BANKBANK_CORE_RESUME_H
 #define BANKBANK_CORE_RESUME_H
--- a/src/core/route_table.h
+++ b/src/core/route_table.h
@@ -1,9 +1,10 @@
 /**
  * @file route_table.h
- * Typed configuration of a site: routes by host and path prefix, services,
- * tenants with their API keys, and limits on client requests. Immutable once
- * checked, except for the credits of the backends; a request holds a reference to
- * the table that was active when it started.
+ * Typed configuration of a site, read from its configuration document
+ * (site_state.h): routes by host and path prefix, services, tenants with their
+ * API keys, and limits on callers' requests. Immutable once checked, except for
+ * the credits of the backends; a request holds a reference to the table that was
+ * active when it started.
  *
  * Keys are stored as 128-bit hashes, seeded with a secret of the process: the
  * table cannot disclose them, and the time of a lookup does not tell how much of a
@@ -23,7 +24,7 @@
 /** Whether a request may run more than once. */
 enum route_kind {
     ROUTE_SAFE,  /**< May run more than once. */
-    ROUTE_ONCE,  /**< Runs at most once; a client's retry counts as another request. */
+    ROUTE_ONCE,  /**< Runs at most once; a caller's retry counts as another request. */
     ROUTE_STREAM /**< The response is an event stream; at most once unless resumable. */
 };
 
@@ -50,12 +51,12 @@
     uint64_t target_latency_ms; /**< Target for the response time. */
     uint64_t target_gap_ms;     /**< Target for the interval between events; 0: none. */
     uint32_t priority;          /**< 0: highest. */
-    uint32_t max_attempts;      /**< Maximum number of servers for one client request. */
+    uint32_t max_attempts;      /**< Maximum number of servers for one request of a caller. */
     bool turns;                 /**< Requests are turns of programs. */
     bool stateful;              /**< The conversation is stored by bankbank. */
     uint64_t retention_ms;      /**< How long it is stored. */
     bool sticky;                /**< Prompts share prefixes, which servers cache. */
-    bool resumable;             /**< An interrupted stream may be resumed on another server. */
+    bool resumable;             /**< An interrupted stream may be resumed on the same or another server (resume.h). */
     bool allows_anonymous;      /**< Requests need no key even if there are tenants. */
     route_regions_t regions;    /**< Allowed regions. */
     struct route_backend *backends;
@@ -91,7 +92,7 @@
     UT_hash_handle hh;             /**< By hash. */
 };
 
-/** Limits on client requests; 0: not configured. */
+/** Limits on callers' requests; 0: not configured. */
 struct route_limits {
     uint64_t max_header_bytes;
     uint64_t max_body_bytes;
--- a/src/core/server_entries.h
+++ b/src/core/server_entries.h
@@ -1,7 +1,8 @@
 /**
  * @file server_entries.h
- * Counts of invalid entries in the platform's server list, and removal of
- * duplicates. Invalid entries are skipped. No I/O.
+ * Counts of invalid entries in the platform's machine list
+ * (proxy/machine_reader.h), and removal of duplicates. Invalid entries are
+ * skipped. No I/O.
  *
  * Of entries with the same id, the one with the latest start time is used: only
  * this incarnation can still run. If the start times are equal, the first entry is
--- a/src/core/server_list.h
+++ b/src/core/server_list.h
@@ -1,8 +1,8 @@
 /**
  * @file server_list.h
- * The list of servers of the platform (the environment that runs them), and its
- * incremental distribution from the leader to all daemons (watchers, see watch.h).
- * No I/O.
+ * The list of servers of the platform (the environment that runs them), as read
+ * from its machine list (proxy/machine_reader.h), and its incremental distribution
+ * from the leader to all daemons (watchers, see watch.h). No I/O.
  *
  * A version is identified by its digest, the sum of the hashes of its records. It
  * does not depend on the replica that sends the list, so that a watcher receives
--- a/src/core/server_table.h
+++ b/src/core/server_table.h
@@ -14,10 +14,11 @@
  * already ended here is therefore deferred as stale while another one is current,
  * and applied only if it persists for SERVER_DEFER_MS.
  *
- * A server that is leaving or whose zone is drained (zone_set.h) gets no new
- * requests under any circumstances; in a drained zone it completes the ones it
- * has. A server is also no longer used after another one has answered at its
- * address, even if a stale list still contains it.
+ * A server is leaving if the list has reported that it is, or no longer contains
+ * it, or if another server has answered at its address, even if a stale list still
+ * contains it. A server that is leaving or whose zone is drained (zone_set.h) gets
+ * no new requests under any circumstances; in a drained zone it completes the ones
+ * it has.
  *
  * If its service configures a start rate (slow_start.h), a server that has just
  * started gets a request only with a token, and as many requests as it has slots
--- a/src/core/site_state.h
+++ b/src/core/site_state.h
@@ -32,7 +32,7 @@
     struct site_document document;
     struct turn_store turns;
     struct budget_table budgets;
-    char **retiring_machines; /**< Names of machines being retired, owned. */
+    char **retiring_machines; /**< Names of machines being retired: their replicas leave the group. Owned. */
     uint32_t retiring_count;
     zone_set_t drained; /**< Zones whose servers get no new requests. */
 };
--- a/src/ctl/ctl.h
+++ b/src/ctl/ctl.h
@@ -23,7 +23,8 @@
     uint32_t timeout_ms;        /**< Timeout of `wait` and `replica`; 0: the daemon's default. */
     const char *old_site;       /**< URL of the old site, for hand-overs. */
     const char *old_site_name;  /**< Name of the old site that is reported to callers. */
-    uint64_t epoch;             /**< Old site's fencing epoch in a hand-over; it ends at the commit. */
+    uint64_t epoch; /**< Fencing epoch under which the old site owns a program until the commit of its hand-over; the
+                       same in all steps. */
 };
 
 enum ctl_field_type { CTL_TEXT, CTL_UINT32, CTL_UINT64, CTL_PLACEMENT, CTL_ENGINES, CTL_BACKENDS };
--- a/src/daemon/settings.h
+++ b/src/daemon/settings.h
@@ -24,7 +24,7 @@
     char *cluster; /**< The same in all daemons of the fleet. */
     uint64_t node; /**< Id of this daemon, unique in the fleet. */
     char *zone;
-    char *data;                   /**< Folder of the log and the histories; used with the state role. */
+    char *data;                   /**< Directory of the log and the histories; used with the state role. */
     bool state_role;              /**< Holds a replica of the state. */
     bool gateway_role;            /**< Serves callers. */
     char *caller_address;         /**< IP:PORT for callers. */
--- a/src/proxy/forward.h
+++ b/src/proxy/forward.h
@@ -88,7 +88,7 @@
 struct forward_quota {
     bool may_start_program;  /**< May be the first request of its program; known once the reservation succeeds. */
     bool starts_program;     /**< The first request of its program. */
-    uint64_t request_number; /**< Quota request whose response it waits for; 0: none. */
+    uint64_t request_number; /**< Token request (core/quota_lease.h) whose reply it waits for; 0: none. */
     uint64_t token_taken_ms; /**< Loop time; 0: no token taken. */
     uint64_t retry_after_ms; /**< Set when refused over the limit. */
 };
@@ -132,7 +132,7 @@
 /** forward_attempt.c: records, once for each attempt, servers that have not responded for too long. */
 void forward_record_unanswered(struct forward *forward);
 
-/** Call when the caller has read all of the response so far. */
+/** Call when all queued bytes of the response were written (http_handler.drained). */
 void forward_caller_drained(struct forward *forward);
 
 /** Call when the caller has disconnected. */
@@ -209,7 +209,7 @@
 /** forward_quota.c: takes the token that forward_quota_begin() left; false: as forward_quota_take(). */
 bool forward_quota_after_reservation(struct forward *forward);
 
-/** forward_quota.c: takes a token; false: it waits for the response to the next quota request. */
+/** forward_quota.c: takes a token; false: it waits for the reply to the next token request. */
 bool forward_quota_take(struct forward *forward);
 
 /** forward_quota.c: returns its token if it made no attempt. */
--- a/src/proxy/forward_quota.c
+++ b/src/proxy/forward_quota.c
@@ -141,7 +141,7 @@
     }
 }
 
-/* Requests that wait for the response to quota request `number`, newest first; the caller frees the list. */
+/* Requests that wait for the reply to token request `number`, newest first; the caller frees the list. */
 static struct forward **forward_quota_list_waiting(const struct frontend *frontend, uint64_t number, size_t *count)
 {
     struct forward **list = memory_new((frontend->active + 1U) * sizeof(struct forward *));
--- a/src/proxy/frontend.h
+++ b/src/proxy/frontend.h
@@ -18,8 +18,9 @@
 enum {
     FRONTEND_DEFAULT_CACHE_BYTES = 8 << 20, /**< Used if no memory budget is set. */
     FRONTEND_MAX_SERVER_CONNECTIONS = 24,   /**< Limit for each server. */
-    FRONTEND_REVIEW_MS = 50,                /**< Interval of the server review and of the memory review. */
-    FRONTEND_WITHDRAWAL_MS = 1000 /**< After the last LoadTotals that called for it, unless a later one ends it. */
+    FRONTEND_REVIEW_MS = 50, /**< Interval of the checks of servers (silence, failures, restarts) and of the memory. */
+    /** Of a withdrawal (core/presence.h) after the last LoadTotals that called for it, unless a later one ends it. */
+    FRONTEND_WITHDRAWAL_MS = 1000
 };
 
 struct frontend_counters {
@@ -49,12 +50,12 @@
 
 struct forward;
 
-/** A gateway. Members that end in _ms are loop times, except report_interval_ms. */
+/** A gateway. Members that end in _ms are loop times (node_now()), except report_interval_ms. */
 struct frontend {
     struct node *node;
     struct http_listener callers;
     struct route_table *table;       /**< Active configuration, or NULL. */
-    bool confirmed;                  /**< Since the start, the leader has confirmed a held version as the latest. */
+    bool confirmed;                  /**< Since the start, the leader has confirmed the held version as up to date. */
     struct node_request *confirming; /**< Request in flight, or NULL. */
     uint64_t confirm_sent_ms;        /**< Of the last request. */
     uint64_t confirm_due_ms;         /**< Earliest time of the next request. */
@@ -77,11 +78,11 @@
     bool withdrawal_logged;
     prefix_cost_t call_cost;      /**< Average cost of a request to a model server, in input tokens. */
     quota_leases_t tenant_leases; /**< Rate limit tokens of tenants. */
-    quota_leases_t start_leases;  /**< Tokens for servers that have just started. */
+    quota_leases_t start_leases;  /**< Start tokens: for servers that have just started (core/slow_start.h). */
     bool start_request_pending;   /**< For start tokens. */
     uint64_t start_requested_ms;  /**< Of the last request. */
     program_set_t programs;       /**< Recently seen, of tenants with a rate limit. */
-    uint64_t quota_requests;      /**< Sent so far; also the number of the last one. */
+    uint64_t quota_requests;      /**< Token requests for tenants sent so far; also the number of the last one. */
     uint64_t jitter_state;        /**< Random generator for the jitter of Retry-After. */
     struct retry_budget retries;  /**< Limits hedged attempts. */
     struct frontend_counters counters;
--- a/src/proxy/node.h
+++ b/src/proxy/node.h
@@ -123,7 +123,7 @@
 /** Connects to the seeds, the known members and the relay, and closes connections that it opened to other addresses. */
 void node_dial(struct node *node);
 
-/** Updates the watch and the request client after the set of connected replicas changed. */
+/** Updates the watch and the control client after the set of connected replicas changed. */
 void node_peers_changed(struct node *node);
 
 /** Applies changes of the site's state to the connections and to the gateway, if there is one. */
--- a/src/proxy/node_internal.h
+++ b/src/proxy/node_internal.h
@@ -13,7 +13,7 @@
 /** False: it cannot listen. */
 bool node_open_links(struct node *node);
 
-/** Initializes the request client and the machine list reader. */
+/** Initializes the control client and the machine list reader. */
 void node_open_client(struct node *node);
 
 /** Dispatches the queued frames that the node sent to itself. */
--- a/src/proxy/state_host.h
+++ b/src/proxy/state_host.h
@@ -48,8 +48,8 @@
     struct watch_server watchers;
     struct load_table loads;        /**< Leader only: in-flight requests by gateway. */
     presence_t presence;            /**< Leader only: gateways that reported recently. */
-    quota_table_t quotas;           /**< Leader only: remaining request quotas of tenants. */
-    slow_start_table_t slow_starts; /**< Leader only: remaining request quotas of starting servers. */
+    quota_table_t quotas;           /**< Leader only: rate limit tokens of tenants. */
+    slow_start_table_t slow_starts; /**< Leader only: tokens for servers that have just started. */
     struct route_table *routes;     /**< Configuration that the quotas are computed from, or NULL. */
     struct http_listener control;   /**< Operators' API. */
     bool serves_control;            /**< `control` is listening. */
