--- a/src/core/reach.h
+++ b/src/core/reach.h
@@ -10,7 +10,7 @@
  * An unreachable server gets no new requests while another one is eligible, and
  * requests that may run on another server are moved. Packet loss or a full accept
  * queue can also make probes fail, so it is probed again at once until
- * REACH_CONFIRMED_PROBES have failed: it is then confirmed to be unreachable.
+ * REACH_CONFIRMED_PROBES have failed: it is then confirmed unreachable.
  * Further probes cannot distinguish a full accept queue or a packet filter from a
  * crash. A resumable stream whose route allows no other server (resume.h) is
  * therefore moved only when its server is dead: confirmed unreachable, and its
--- a/src/proxy/forward_resume.c
+++ b/src/proxy/forward_resume.c
@@ -112,7 +112,7 @@
             (forward_may_use_another_server(forward) || reach_is_dead(&attempt->server->reach)));
 }
 
-/* An attempt that must not be retried is kept: its response may still arrive. */
+/* Ends the attempt if it was not sent or forward_may_retry_elsewhere(), else keeps it: a response may still arrive. */
 static void forward_end_unreachable_attempt(struct forward_attempt *attempt)
 {
     static const char reason[] = "the server cannot be reached";
--- a/src/proxy/frontend.h
+++ b/src/proxy/frontend.h
@@ -19,8 +19,8 @@
     FRONTEND_DEFAULT_CACHE_BYTES = 8 << 20, /**< Used if no memory budget is set. */
     FRONTEND_MAX_SERVER_CONNECTIONS = 24,   /**< Limit for each server. */
     FRONTEND_REVIEW_MS = 50, /**< Interval of the checks of servers (silence, failures, restarts) and of the memory. */
-    /** Of a withdrawal (core/presence.h) after the last LoadTotals that called for it, unless a later one ends it. */
-    FRONTEND_WITHDRAWAL_MS = 1000
+    FRONTEND_WITHDRAWAL_MS = 1000 /**< Duration of a withdrawal (core/presence.h) after the last LoadTotals that called
+                                   * for it, unless a later one ends it. */
 };
 
 struct frontend_counters {
